--- a/apps/sagechute-router/StatusBoard.cpp
+++ b/apps/sagechute-router/StatusBoard.cpp
@@ -54,7 +54,7 @@
     json poolDocument(const routing::PoolStatus& pool)
     {
         json customers = json::array();
-        for (const scheduling::CustomerService& it : pool.customers)
+        for (const scheduling::CustomerServiceEntry& it : pool.customers)
             customers.push_back(
                 { { "customer", it.customer.value }, { "virtualService", it.service }, { "waiting", it.backlogged } });
         return { { "pool", pool.pool.value }, { "cellsOwned", pool.cellsOwned }, { "waiting", pool.waitingHere },
--- a/bench/SchedulingBench.cpp
+++ b/bench/SchedulingBench.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-// Counts live bytes, to report what a waiting request, a customer and a target take.
+// Counts allocated bytes, to report the memory per waiting request, customer and target.
 void* operator new(std::size_t size)
 {
     void* memory = std::malloc(size);
@@ -27,7 +27,7 @@
     return memory;
 }
 
-// Not inlined: the compiler would take the free() for a mismatch with a new expression.
+// Not inlined, since the compiler would warn that free() does not match the new expression.
 [[gnu::noinline]] void operator delete(void* memory) noexcept
 {
     liveBytes -= malloc_usable_size(memory);
@@ -44,7 +44,7 @@
 
 const PoolId kPool { "appraisal" };
 
-/// One cell under steady load: every customer has requests waiting, every slot is taken.
+/// One cell under steady load: every customer has waiting requests and every slot is in use.
 class LoadedCell {
 public:
     LoadedCell(std::uint32_t customers, std::uint32_t targets)
@@ -103,7 +103,7 @@
     TimePoint m_now {};
 };
 
-/// One decision: a request ends, its slot goes to the next one, and another request is offered.
+/// One scheduling decision: a request ends, its slot is granted to the next one, and another request is offered.
 void decision(benchmark::State& state)
 {
     LoadedCell cell(std::uint32_t(state.range(0)), std::uint32_t(state.range(1)));
@@ -115,7 +115,7 @@
     }
 }
 
-/// The ids and offers of the benchmark itself, to be taken off decision().
+/// Overhead of creating ids and offers in the benchmark itself, to be subtracted from decision().
 void offerTexts(benchmark::State& state)
 {
     std::uint64_t serial = 0;
@@ -149,7 +149,7 @@
     }
 }
 
-/// What one more customer takes in a ledger with the registers of @c lives other routers.
+/// Memory per customer in a ledger with the registers of @c lives other router incarnations.
 void ledgerBytes(benchmark::State& state)
 {
     const auto customers = std::uint32_t(state.range(0));
@@ -163,7 +163,7 @@
         const std::size_t ofSummary = liveBytes;
         for (std::uint32_t n = 0; n < lives; ++n) {
             summary.life = { VmId { "router-" + std::to_string(n) }, 1 };
-            ledger->absorb(summary);
+            ledger->mergeSummary(summary);
         }
         benchmark::DoNotOptimize(atStart);
         state.counters["bytes/customer"] = double(liveBytes - ofSummary) / customers;
@@ -183,7 +183,7 @@
         ++summary.sequence;
         for (auto& it : summary.customers)
             it.service += 1;
-        cell.ledger().absorb(summary);
+        cell.ledger().mergeSummary(summary);
         cell.schedule();
     }
     state.SetItemsProcessed(std::int64_t(state.iterations()) * customers);
@@ -208,7 +208,7 @@
     routers.reserve(state.range(0));
     for (int n = 0; n < state.range(0); ++n)
         routers.push_back({ VmId { "router-" + std::to_string(n) }, ZoneId { "zone-" + std::to_string(n % 4) } });
-    const std::vector<PoolCells> pools { { kPool, std::uint32_t(state.range(1)) } };
+    const std::vector<PoolCellCount> pools { { kPool, std::uint32_t(state.range(1)) } };
     for (auto _ : state)
         benchmark::DoNotOptimize(CellMap::build(routers, pools));
 }
--- a/include/sagechute/Routing.h
+++ b/include/sagechute/Routing.h
@@ -262,7 +262,7 @@
     std::uint32_t freeSlotsOwned = 0;
     Cost measuredGap = 0;
     Cost gapBound = 0;
-    std::vector<scheduling::CustomerService> customers;
+    std::vector<scheduling::CustomerServiceEntry> customers;
 };
 
 struct RouterStatus {
--- a/include/sagechute/Scheduling.h
+++ b/include/sagechute/Scheduling.h
@@ -1,8 +1,11 @@
 #pragma once
 
 /// @file
-/// Fair sharing of a pool: the ledger of service, the scheduler of one cell, the map of cells to owners and the choice
-/// of a cell for an offer. Decision logic without I/O, threads or clock.
+/// Weighted fair queueing over the targets of a pool: the service ledger, the scheduler of one cell, the assignment of
+/// cells to routers and the choice of a cell for each offer. Decision logic only: no I/O, threads or clock.
+///
+/// Service is normalised: each charge is divided by the customer's weight. A router incarnation (RouterLife) is one run
+/// of the router process on a VM.
 
 #include <sagechute/Core.h>
 
@@ -14,7 +17,7 @@
 
 namespace sagechute::scheduling {
 
-/// One part of a pool's targets, scheduled by one owner.
+/// A partition of a pool's targets. One router, its owner, schedules all requests for it.
 struct CellId {
     PoolId pool;
     std::uint32_t index = 0;
@@ -22,46 +25,49 @@
     auto operator<=>(const CellId&) const = default;
 };
 
-/// How requests are ordered and where they wait.
+/// The order in which requests are served, and where they are queued.
 enum class Policy {
-    Cells, ///< One fair queue over all routers, in cells with an owner.
-    Static, ///< Baseline: a fair queue in each router over a fixed share of the slots.
-    Fifo, ///< Baseline: cells, but in order of arrival.
+    Cells, ///< One fair queue over all routers, partitioned into cells that are each owned by one router.
+    Static, ///< Baseline: a separate fair queue in each router, over a fixed share of the slots.
+    Fifo, ///< Baseline: cells, served in order of arrival.
 };
 
 absl::StatusOr<Policy> parsePolicy(std::string_view text);
 std::string_view toString(Policy);
 
-/// Service of one customer as one router life accounts for it; replaced as a whole by a later sequence number.
-struct CustomerService {
+/// Service of one customer as accounted by one router incarnation. An entry with a higher sequence number replaces it.
+struct CustomerServiceEntry {
     CustomerId customer;
-    Cost service = 0; ///< Charged by that life so far, corrections included, each divided by the weight then in force.
-    Cost lift = 0; ///< Largest lift known, in weighted units; merged by maximum.
-    bool backlogged = false; ///< It has waiting requests there.
+    /// Total charged by that incarnation, including corrections. Each charge is divided by the weight in force at the
+    /// time.
+    Cost service = 0;
+    Cost lift = 0; ///< Normalised service added on returns from idle and after partitions; merged by maximum.
+    bool backlogged = false; ///< The customer has waiting requests at that incarnation.
 };
 
-/// What a cell's owner tells about the cell, so that others can place offers.
+/// State of a cell as published by its owner; other routers use it to place offers.
 struct CellDigest {
     std::uint32_t index = 0;
     std::uint32_t freeSlots = 0;
     std::uint32_t waiting = 0;
-    Cost headService = 0; ///< Virtual service of the customer that it would serve next; meaningless when nobody waits.
+    Cost headService = 0; ///< Virtual service of the customer to be served next; undefined when nothing waits.
 };
 
-/// One router life's part of a pool's ledger, and its cells. Sent to the other owners of the pool, to the routers with
-/// waiting work and to the next in line for its cells.
+/// One router incarnation's part of a pool's ledger, and the state of its cells. Sent to the other owners of the pool's
+/// cells, to routers with waiting requests and to the routers that would take over the sender's cells.
 struct PoolSummary {
     PoolId pool;
     RouterLife life;
     std::uint64_t sequence = 0;
-    bool full = false; ///< Holds every customer, not only the changed ones.
-    Cost virtualTime = 0; ///< Largest smallest virtual service of the backlogged seen so far; merged by maximum.
-    std::vector<CustomerService> customers;
+    bool full = false; ///< Lists every customer with service, not only those that changed.
+    /// Highest value so far of the smallest virtual service among the backlogged customers; merged by maximum.
+    Cost virtualTime = 0;
+    std::vector<CustomerServiceEntry> customers;
     std::vector<CellDigest> cells;
 };
 
-/// Virtual service per customer of one pool, summed over what every router life has charged. Contributions are
-/// registers of absolute values, so a lost, doubled or reordered summary does no harm.
+/// Virtual service per customer of one pool, summed over the charges of all router incarnations. Each incarnation
+/// contributes a register with an absolute value, so lost, duplicated or reordered summaries cause no error.
 class ServiceLedger {
 public:
     static std::unique_ptr<ServiceLedger> make(PoolId, RouterLife self);
@@ -69,69 +75,70 @@
 
     virtual void setWeight(const CustomerId&, double weight) = 0;
 
-    /// Charges (or, when negative, gives back) service that this life granted.
+    /// Charges service that this router granted, or refunds it when the cost is negative.
     virtual void charge(const CustomerId&, Cost) = 0;
 
-    /// The customer has its first, or no longer any, waiting request in this life's cells. Becoming backlogged lifts a
-    /// customer that is backlogged nowhere to the smallest virtual service among the backlogged.
+    /// Call when the customer gets its first waiting request in this router's cells, or loses its last one. A customer
+    /// that was not backlogged at any router is lifted towards the smallest virtual service among the backlogged
+    /// customers, so that it earns no credit while idle.
     virtual void setBacklogged(const CustomerId&, bool) = 0;
 
-    /// @return service divided by weight, over all lives, plus lift. A change of weight counts for later charges only,
-    /// so that it neither favours nor punishes a customer for its past.
+    /// @return the normalised service over all router incarnations, plus the lift. A change of weight applies to later
+    /// charges only, so that it neither rewards nor penalises a customer for past service.
     virtual Cost virtualService(const CustomerId&) const = 0;
 
-    /// Merges another life's summary.
-    virtual void absorb(const PoolSummary&) = 0;
+    /// Merges the summary of another router incarnation.
+    virtual void mergeSummary(const PoolSummary&) = 0;
 
-    /// The cells of the summary are left empty for the caller to fill in.
-    /// @param full every customer with service, else those changed since the last summary and a few others in turn, so
-    /// that a lost summary is made good in time.
+    /// Returns this router's summary. The caller fills in the cells.
+    /// @param full whether to list every customer with service. Otherwise lists those that changed since the last
+    /// summary and a few others in rotation, which repairs the effect of lost summaries over time.
     virtual PoolSummary summarize(bool full) = 0;
 
-    /// Summaries of all other lives as known here, for a router that starts with nothing: it absorbs those of one peer,
-    /// all in one go, before its schedulers get offers. The one with an empty VM holds what long-gone lives have
-    /// charged.
-    virtual std::vector<PoolSummary> others() const = 0;
+    /// Returns the summaries of all other router incarnations as known here. A router that starts without state merges
+    /// those of a single peer, all together, before its schedulers get offers. The summary with an empty VM holds the
+    /// charges of incarnations that are no longer tracked one by one.
+    virtual std::vector<PoolSummary> peerSummaries() const = 0;
 
-    /// That life is gone: it is backlogged nowhere any more; its service still counts.
+    /// Marks an incarnation as terminated: its backlogs end, but its charges still count.
     virtual void retire(const RouterLife&) = 0;
 
-    /// Largest difference of normalised service between two customers that are backlogged now, counted since the later
-    /// of them became so (rounded up to the next sample; one sample is taken per as many charges as there are
-    /// customers).
+    /// Returns the largest difference in normalised service received by two customers that are backlogged now, since
+    /// the later of them became backlogged. The start is rounded up to the next sample; a sample is taken every n
+    /// charges for n customers.
     virtual Cost measuredGap() const = 0;
 
 private:
-    friend class LedgerCore; ///< The only implementation; schedulers rely on that.
+    friend class LedgerCore; ///< The only implementation; CellScheduler::make() downcasts to it.
     ServiceLedger() = default;
 };
 
-/// One target as its cell sees it.
+/// A target as configured in its cell.
 struct CellTarget {
     TargetId id;
-    std::uint32_t slots = 0; ///< Requests granted at a time at most.
-    bool accepting = true; ///< False while leaving, failing or frozen: no new grants.
+    std::uint32_t slots = 0; ///< Maximum number of concurrent requests.
+    bool accepting = true; ///< False while draining, failing or frozen: gets no new grants.
 };
 
-/// A waiting request, offered by the router that holds it.
+/// A waiting request that its router offers to a cell.
 struct Offer {
     RequestId request;
     CustomerId customer;
-    Cost hint = 0; ///< The caller's guess, or 0 for none.
-    std::vector<std::uint64_t> prefixes; ///< Hashes of the prompt's prefixes, shortest first.
+    Cost hint = 0; ///< Cost estimate from the caller, or 0 for none.
+    std::vector<std::uint64_t> prefixes; ///< Hashes of the prompt's prefixes, shortest prefix first.
     std::optional<TimePoint> deadline;
-    std::vector<TargetId> avoid; ///< Targets that have failed this request.
+    std::vector<TargetId> avoid; ///< Targets that have already failed this request.
 };
 
-/// A request that runs, reported by its router to a new owner.
+/// A running request, as its router reports it to a new owner of the cell.
 struct InFlight {
     RequestId request;
     CustomerId customer;
     TargetId target;
-    Cost charged = 0; ///< What the granting owner charged.
+    Cost charged = 0; ///< Charge made by the owner that granted it.
 };
 
-/// Permission to send one request to one target until it expires. It runs nothing by itself.
+/// Permission for a router to send one request to one target before the grant expires.
 struct Grant {
     RequestId request;
     CustomerId customer;
@@ -143,8 +150,10 @@
 struct CellSettings {
     Policy policy = Policy::Cells;
     Duration grantLifetime = std::chrono::milliseconds(500);
-    double affinitySlack = 0.25; ///< Part of the fairness bound that prefix affinity may use; 0 turns affinity off.
-    std::uint32_t offersPerRouterAndCustomer = 32; ///< Window that routers keep to; the scheduler does not refuse more.
+    /// Extra deviation from the fair order allowed for prefix affinity, as a fraction of the fairness bound. 0 turns
+    /// affinity off.
+    double affinitySlack = 0.25;
+    std::uint32_t offersPerRouterAndCustomer = 32; ///< Limit observed by the routers; the scheduler accepts more.
 };
 
 struct CellStats {
@@ -153,90 +162,87 @@
     std::uint32_t slots = 0;
     std::uint32_t freeSlots = 0;
     std::uint64_t granted = 0;
-    std::uint64_t expired = 0; ///< Grants that ended unused, without a word from the router.
-    std::uint64_t affinityHits = 0; ///< Grants whose target had a prefix of the request cached.
-    Cost gapBound = 0; ///< The formula of docs/design/fairness.md with the costs seen.
+    std::uint64_t expired = 0; ///< Grants that expired without any message from the router.
+    std::uint64_t affinityHits = 0; ///< Grants to a target that had a prefix of the request cached.
+    Cost gapBound = 0; ///< Formula of docs/design/fairness.md, evaluated with the costs observed so far.
 };
 
-/// The scheduler of one cell. All its state is soft: routers offer again and report what runs.
+/// The scheduler of one cell. All its state is soft: after a loss, routers repeat their offers and report what runs.
 class CellScheduler {
 public:
-    /// @param ledger the pool's ledger in this router; outlives the scheduler.
+    /// @param ledger the pool's ledger in this router; must outlive the scheduler.
     static std::unique_ptr<CellScheduler> make(CellId, const CellSettings&, ServiceLedger& ledger);
     virtual ~CellScheduler() = default;
 
-    /// Sets the cell's targets; those missing are removed, what runs on them is forgotten at its settlement.
+    /// Replaces the cell's targets. Requests running on a removed target are kept until they are settled.
     virtual void setTargets(const std::vector<CellTarget>&) = 0;
     virtual void setAccepting(const TargetId&, bool accepting) = 0;
 
-    /// Adds a waiting request. Doing it again replaces the offer; a request that was already granted is granted anew
-    /// only after its grant has expired or was declined.
+    /// Adds a waiting request, or replaces its earlier offer. A request that holds a grant is granted again only after
+    /// the grant has expired or been declined.
     virtual void offer(TimePoint now, Offer) = 0;
     virtual void withdraw(TimePoint now, const RequestId&) = 0;
 
-    /// The router did not use a grant: the slot is free, the charge given back and the offer gone. A router that still
-    /// has the request offers it again, usually with the target in @c avoid; else the same grant would come at once.
-    /// Also after started().
+    /// The router did not use a grant: frees the slot, refunds the charge and removes the offer. A router that still
+    /// holds the request offers it again, usually with the target in @c avoid, since otherwise the same grant would be
+    /// made at once. Also valid after started().
     virtual void decline(TimePoint now, const RequestId&) = 0;
 
-    /// The router used the grant; from now on the grant does not expire.
+    /// The router used the grant, which therefore no longer expires.
     virtual void started(TimePoint now, const RequestId&) = 0;
 
-    /// Takes over a request that already runs (change of owner, or a router's resynchronisation).
+    /// Registers a request that already runs, after a change of owner or when a router resynchronises.
     virtual void adopt(TimePoint now, const InFlight&) = 0;
 
-    /// @param soFar service that the request has received; charged when it exceeds the estimate.
+    /// Reports partial cost. @param soFar service received so far; charged if it exceeds the amount already charged.
     virtual void progress(TimePoint now, const RequestId&, Cost soFar) = 0;
 
-    /// The request has ended: the slot is free, and the charge becomes @p final.
+    /// The request has ended: frees the slot and adjusts the charge to @p final.
     virtual void settle(TimePoint now, const RequestId&, Cost final) = 0;
 
-    /// Forgets all of a router's offers and running requests: it is dead, suspected or about to resynchronise.
+    /// Removes all offers and running requests of a router that is dead, suspected dead or about to resynchronise.
     virtual void dropRouter(TimePoint now, const RouterLife&) = 0;
 
-    /// The target has, or no longer has, a prefix cached.
+    /// Cache events of a target: a prefix was stored or evicted.
     virtual void prefixStored(const TargetId&, std::uint64_t prefix) = 0;
     virtual void prefixEvicted(const TargetId&, std::uint64_t prefix) = 0;
-    /// Events of the target were lost: nothing is known of its cache any more.
+    /// Cache events of the target were lost, so its known cache contents are discarded.
     virtual void prefixesUnknown(const TargetId&) = 0;
 
-    /// Grants free slots to waiting requests until one of the two runs out; expires unused grants and offers past their
-    /// deadline.
+    /// Expires unused grants and offers past their deadline, then grants free slots to waiting requests until no free
+    /// slot can take any of them.
     virtual std::vector<Grant> schedule(TimePoint now) = 0;
 
-    /// @return when schedule() has something to do without another event, if ever.
+    /// @return the next time at which schedule() must be called even if no event occurs, if any.
     virtual std::optional<TimePoint> nextDue() const = 0;
 
-    /// @return the target that a granted or running request uses.
+    /// @return the target of a granted or running request.
     virtual std::optional<TargetId> targetOf(const RequestId&) const = 0;
 
     virtual CellDigest digest() const = 0;
     virtual CellStats stats() const = 0;
 };
 
-/// A router that may own cells.
+/// A router that is eligible to own cells.
 struct OwnerCandidate {
     VmId vm;
     ZoneId zone;
 };
 
-/// Number of cells of one pool.
-struct PoolCells {
+struct PoolCellCount {
     PoolId pool;
     std::uint32_t count = 0;
 };
 
-/// Which router owns a cell and which would be next: rendezvous hashing with a cap on cells per router, the same
-/// everywhere for the same view.
+/// Assigns each cell an owner and successors by rendezvous hashing with a cap on cells per router. All routers with the
+/// same membership view compute the same map.
 class CellMap {
 public:
-    /// @param cellCounts the number of cells of each pool.
-    static CellMap build(const std::vector<OwnerCandidate>& routers, const std::vector<PoolCells>& cellCounts);
+    static CellMap build(const std::vector<OwnerCandidate>& routers, const std::vector<PoolCellCount>& cellCounts);
 
-    /// @return owner first, then those next in line (at most 3 in all); empty when there is no router.
+    /// @return the owner, followed by its successors (at most 3 routers in all); empty when there is no router.
     std::vector<VmId> owners(const CellId&) const;
 
-    /// @return the cells of a pool that a VM owns.
     std::vector<CellId> ownedBy(const VmId&, const PoolId&) const;
     std::uint32_t cellCount(const PoolId&) const;
 
@@ -248,40 +254,40 @@
     std::vector<Entry> m_entries;
 };
 
-/// Divides a pool's targets over its cells: the same for the same set, in sizes that differ by one at most, and with at
-/// most one target per cell that moves when a target joins or leaves.
-/// @return the cell's index for each target, in the order of @p targetsInPool.
+/// Partitions a pool's targets into cells. The result depends on the set of targets only; cell sizes differ by at most
+/// one, and at most one target per cell moves when a target joins or leaves.
+/// @return the cell index of each target, in the order of @p targetsInPool.
 std::vector<std::uint32_t> divideTargets(const std::vector<TargetId>& targetsInPool, std::uint32_t cellCount);
 
-/// @return the index of the cell of one target by divideTargets(), which serves better for many.
+/// @return the cell index of one target. To look up many, call divideTargets() once.
 /// @param targetsInPool all targets of the pool.
 std::uint32_t cellOf(const TargetId&, const std::vector<TargetId>& targetsInPool, std::uint32_t cellCount);
 
-/// Chooses the cell for each offer of one pool, from the digests of all cells: the router's own cell first; one with
-/// free slots when the own is full; else the one with the fewest offers of the customer, so that it waits in every
-/// cell.
+/// Chooses the cell for each offer of one pool, from the digests of all cells. Prefers this router's own cells with
+/// free slots, then other cells with free slots. When all are full, takes the cell with the fewest offers of the
+/// customer, so that the customer waits in every cell.
 class OfferPlacer {
 public:
     static std::unique_ptr<OfferPlacer> make(PoolId);
     virtual ~OfferPlacer() = default;
 
     virtual void setCells(std::uint32_t count, const std::vector<std::uint32_t>& ownedHere) = 0;
-    virtual void learn(TimePoint now, const CellDigest&) = 0;
+    virtual void updateDigest(TimePoint now, const CellDigest&) = 0;
 
-    /// Counts one more offer of the customer in the cell returned.
-    /// @param virtualService the customer's, from the ledger.
+    /// Chooses a cell and counts the offer there. @param virtualService of the customer, from the ledger.
     virtual CellId place(TimePoint now, const CustomerId&, Cost virtualService) = 0;
 
-    /// An offer waits there no longer: it was granted, withdrawn or returned. Without this a customer's offers spread
-    /// evenly over the cells instead of to where they get through.
-    virtual void left(const CustomerId&, const CellId&) = 0;
+    /// The offer no longer waits in the cell: it was granted, withdrawn or returned. Without this call a customer's
+    /// offers would be spread evenly over the cells rather than to those that grant them.
+    virtual void offerRemoved(const CustomerId&, const CellId&) = 0;
 
-    /// An offer was moved on the advice of better(); in place of left().
-    virtual void moved(const CustomerId&, const CellId& from, const CellId& to) = 0;
+    /// An offer was moved to the cell returned by findBetterCell(). Replaces offerRemoved().
+    virtual void offerMoved(const CustomerId&, const CellId& from, const CellId& to) = 0;
 
-    /// @param offered where it is offered and since when.
-    /// @return another cell to move the offer to, when that is clearly better.
-    virtual std::optional<CellId> better(TimePoint now, const CellId& offered, TimePoint since, Cost virtualService)
+    /// @param offered the cell where the request is offered, since @p since.
+    /// @return the cell to move the offer to, if it would clearly be served sooner there.
+    virtual std::optional<CellId> findBetterCell(
+        TimePoint now, const CellId& offered, TimePoint since, Cost virtualService)
         = 0;
 };
 
--- a/src/routing/Core.cpp
+++ b/src/routing/Core.cpp
@@ -156,7 +156,7 @@
         if (it.state == membership::MemberState::Alive && !it.summary.draining && !drains(it.summary.life.vm))
             routers.push_back({ it.summary.life.vm, it.summary.zone });
     }
-    std::vector<scheduling::PoolCells> counts;
+    std::vector<scheduling::PoolCellCount> counts;
     for (const PoolId& it : m_config->pools())
         counts.push_back({ it, cellCount(it) });
     return scheduling::CellMap::build(routers, counts);
--- a/src/routing/PoolLedger.cpp
+++ b/src/routing/PoolLedger.cpp
@@ -146,7 +146,7 @@
         return;
     // A notice of free slots carries no counters and no sequence number of its own.
     if (!summary.customers.empty() || summary.full)
-        m_ledger->absorb(summary);
+        m_ledger->mergeSummary(summary);
     for (const scheduling::CellDigest& it : summary.cells) {
         if (m_cells.contains(it.index))
             continue;
@@ -159,7 +159,7 @@
 
 void PoolRouter::ledgerPulled(const VmId& from)
 {
-    for (const scheduling::PoolSummary& it : m_ledger->others())
+    for (const scheduling::PoolSummary& it : m_ledger->peerSummaries())
         send(from, Purpose::Ledger, wire::SummaryMessage { it });
     scheduling::PoolSummary own = m_ledger->summarize(true);
     own.cells = digests();
--- a/src/routing/PoolPlacement.cpp
+++ b/src/routing/PoolPlacement.cpp
@@ -123,7 +123,7 @@
 
 void PoolRouter::learn(TimePoint now, const scheduling::CellDigest& digest)
 {
-    m_placer->learn(now, digest);
+    m_placer->updateDigest(now, digest);
     m_freeSlots[digest.index] = { digest.freeSlots, digest.waiting, now };
 }
 
@@ -247,7 +247,7 @@
             if (!request || request->offers.size() != 1 || request->offers.front().local || moves >= movesPerRound)
                 continue;
             const auto cell
-                = m_placer->better(now, request->offers.front().cell, request->offeredSince, virtualService);
+                = m_placer->findBetterCell(now, request->offers.front().cell, request->offeredSince, virtualService);
             if (!cell || !usable(*cell))
                 continue;
             takeBack(now, *request);
--- a/src/routing/PoolRouter.cpp
+++ b/src/routing/PoolRouter.cpp
@@ -326,7 +326,7 @@
         status.gapBound = m_local->stats().gapBound;
     status.measuredGap = m_ledger->measuredGap();
     for (const auto& entry : m_queues) {
-        scheduling::CustomerService service;
+        scheduling::CustomerServiceEntry service;
         service.customer = entry.first;
         service.service = m_ledger->virtualService(entry.first);
         service.backlogged = !entry.second.waiting.empty() || !entry.second.offered.empty();
--- a/src/scheduling/CellMap.cpp
+++ b/src/scheduling/CellMap.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    constexpr std::size_t kMostOwners = 3;
+    constexpr std::size_t kMaxOwners = 3;
 
     std::uint64_t mix(std::uint64_t value)
     {
@@ -44,8 +44,8 @@
         auto operator<=>(const Preference&) const = default;
     };
 
-    /// @return all routers for a cell, best first.
-    std::vector<Preference> rank(const CellId& cell, const std::vector<Router>& routers)
+    /// @return all routers with their rendezvous scores for a cell, highest first.
+    std::vector<Preference> rankRouters(const CellId& cell, const std::vector<Router>& routers)
     {
         std::vector<Preference> ranking;
         const std::uint64_t hash = cellHash(cell);
@@ -55,16 +55,17 @@
         return ranking;
     }
 
-    /// Rendezvous hashing with a cap per router: each cell asks its routers from the best on, and a router keeps the
-    /// cells with the highest scores. Scores are the same from both sides, so the result does not depend on the order
-    /// of asking, and when a router leaves only its cells and those that they displace move.
+    /// Rendezvous hashing with a cap per router, solved by deferred acceptance: each cell proposes to routers in order
+    /// of preference, and a router holds the proposals with the highest scores. Cell and router rank a pair by the same
+    /// score, so the result does not depend on the order of proposals, and when a router leaves, only its cells and
+    /// those displaced by them move.
     class CappedAssignment {
     public:
         CappedAssignment(const std::vector<std::vector<Preference>>& rankings, std::size_t routers, std::size_t cap)
             : m_rankings(rankings)
             , m_cap(cap)
-            , m_kept(routers)
-            , m_asked(rankings.size())
+            , m_held(routers)
+            , m_nextPreference(rankings.size())
             , m_owner(rankings.size())
         {
             for (std::uint32_t cell = 0; cell < rankings.size(); ++cell)
@@ -74,42 +75,42 @@
         std::uint32_t owner(std::uint32_t cell) const { return m_owner[cell]; }
 
     private:
-        struct Kept {
+        struct HeldCell {
             std::uint64_t score = 0;
             std::uint32_t cell = 0;
-            auto operator<=>(const Kept&) const = default;
+            auto operator<=>(const HeldCell&) const = default;
         };
 
-        using LowestFirst = std::priority_queue<Kept, std::vector<Kept>, std::greater<>>;
+        using LowestFirst = std::priority_queue<HeldCell, std::vector<HeldCell>, std::greater<>>;
 
         void assign(std::uint32_t cell)
         {
             while (true) {
-                const Preference& wish = m_rankings[cell][m_asked[cell]++];
-                LowestFirst& kept = m_kept[wish.router];
-                kept.push({ wish.score, cell });
-                m_owner[cell] = wish.router;
-                if (kept.size() <= m_cap)
+                const Preference& preference = m_rankings[cell][m_nextPreference[cell]++];
+                LowestFirst& held = m_held[preference.router];
+                held.push({ preference.score, cell });
+                m_owner[cell] = preference.router;
+                if (held.size() <= m_cap)
                     return;
-                cell = kept.top().cell;
-                kept.pop();
+                cell = held.top().cell;
+                held.pop();
             }
         }
 
         const std::vector<std::vector<Preference>>& m_rankings;
         std::size_t m_cap;
-        std::vector<LowestFirst> m_kept;
-        std::vector<std::size_t> m_asked;
+        std::vector<LowestFirst> m_held;
+        std::vector<std::size_t> m_nextPreference;
         std::vector<std::uint32_t> m_owner;
     };
 
-    /// A quarter above the even share. Exactly the even share fills every router, and then one cell that moves
-    /// displaces the next: one of 370 routers with a cell each that left moved 148 cells.
+    /// @return the even share plus a quarter. With a cap at the even share all routers are full, and each cell that
+    /// moves displaces another one: with 370 routers of one cell each, one router that left moved 148 cells.
     std::size_t capFor(std::size_t cells, std::size_t routers) { return (5 * cells + 4 * routers - 1) / (4 * routers); }
 
-    /// @return the owner, then the best others. When the first of these shares the owner's availability zone, the last
-    /// is the best of another zone: it is the one that takes over when the whole zone fails.
-    std::vector<VmId> inLine(
+    /// @return the owner, followed by its successors in order of score. If the first successor is in the owner's
+    /// availability zone, the second is the best router of another zone, so that the cell survives the loss of a zone.
+    std::vector<VmId> successionOrder(
         const std::vector<Preference>& ranking, const std::vector<Router>& routers, std::uint32_t owner)
     {
         const ZoneId& zone = routers[owner].candidate->zone;
@@ -119,20 +120,20 @@
                 next.push_back(it.router);
         }
         if (next.size() >= 2 && routers[next[0]].candidate->zone == zone) {
-            const auto elsewhere = std::find_if(next.begin() + 1, next.end(),
+            const auto otherZone = std::find_if(next.begin() + 1, next.end(),
                 [&](std::uint32_t router) { return routers[router].candidate->zone != zone; });
-            if (elsewhere != next.end())
-                std::swap(next[1], *elsewhere);
+            if (otherZone != next.end())
+                std::swap(next[1], *otherZone);
         }
         std::vector<VmId> owners { routers[owner].candidate->vm };
-        for (std::size_t n = 0; n < next.size() && owners.size() < kMostOwners; ++n)
+        for (std::size_t n = 0; n < next.size() && owners.size() < kMaxOwners; ++n)
             owners.push_back(routers[next[n]].candidate->vm);
         return owners;
     }
 
 } // namespace
 
-CellMap CellMap::build(const std::vector<OwnerCandidate>& candidates, const std::vector<PoolCells>& cellCounts)
+CellMap CellMap::build(const std::vector<OwnerCandidate>& candidates, const std::vector<PoolCellCount>& cellCounts)
 {
     CellMap map;
     for (const auto& it : cellCounts) {
@@ -146,10 +147,10 @@
         return map;
     std::vector<std::vector<Preference>> rankings;
     for (const auto& it : map.m_entries)
-        rankings.push_back(rank(it.cell, routers));
+        rankings.push_back(rankRouters(it.cell, routers));
     const CappedAssignment assignment(rankings, routers.size(), capFor(map.m_entries.size(), routers.size()));
     for (std::uint32_t n = 0; n < map.m_entries.size(); ++n)
-        map.m_entries[n].owners = inLine(rankings[n], routers, assignment.owner(n));
+        map.m_entries[n].owners = successionOrder(rankings[n], routers, assignment.owner(n));
     return map;
 }
 
@@ -180,18 +181,19 @@
 
 std::vector<std::uint32_t> divideTargets(const std::vector<TargetId>& targetsInPool, std::uint32_t cellCount)
 {
-    struct Hashed {
+    struct HashedTarget {
         std::uint64_t hash = 0;
         const TargetId* id = nullptr;
         std::size_t position = 0;
     };
-    std::vector<Hashed> order;
+    std::vector<HashedTarget> order;
     for (std::size_t n = 0; n < targetsInPool.size(); ++n)
         order.push_back({ stableHash(targetsInPool[n].value), &targetsInPool[n], n });
-    std::sort(order.begin(), order.end(),
-        [](const Hashed& a, const Hashed& b) { return a.hash != b.hash ? a.hash < b.hash : *a.id < *b.id; });
+    std::sort(order.begin(), order.end(), [](const HashedTarget& a, const HashedTarget& b) {
+        return a.hash != b.hash ? a.hash < b.hash : *a.id < *b.id;
+    });
     std::vector<std::uint32_t> cells(targetsInPool.size());
-    // Blocks rather than index modulo count: there a target that joins would move half of all others.
+    // Contiguous blocks in hash order. With index modulo count, a target that joins would move half of all others.
     for (std::size_t n = 0; n < order.size(); ++n)
         cells[order[n].position] = std::uint32_t(n * cellCount / order.size());
     return cells;
--- a/src/scheduling/CellRequests.cpp
+++ b/src/scheduling/CellRequests.cpp
@@ -16,14 +16,14 @@
 RequestIndex CellRequests::create(const RequestId& id)
 {
     RequestIndex r = RequestIndex(m_requests.size());
-    if (m_unused.empty()) {
+    if (m_unusedIndices.empty()) {
         m_requests.emplace_back();
     } else {
-        r = m_unused.back();
-        m_unused.pop_back();
+        r = m_unusedIndices.back();
+        m_unusedIndices.pop_back();
     }
     Request& request = m_requests[r];
-    request.origin = enter(id.origin);
+    request.origin = acquireOrigin(id.origin);
     request.serial = id.serial;
     m_index.emplace(Key { request.origin, id.serial }, r);
     return r;
@@ -33,9 +33,9 @@
 {
     Request& request = m_requests[r];
     m_index.erase({ request.origin, request.serial });
-    leave(request.origin);
+    releaseOrigin(request.origin);
     request = Request {};
-    m_unused.push_back(r);
+    m_unusedIndices.push_back(r);
 }
 
 RequestId CellRequests::id(RequestIndex r) const
@@ -43,7 +43,7 @@
     return { m_origins[m_requests[r].origin].life, m_requests[r].serial };
 }
 
-OriginIndex CellRequests::enter(const RouterLife& life)
+OriginIndex CellRequests::acquireOrigin(const RouterLife& life)
 {
     const auto [it, isNew] = m_originIndex.try_emplace(life, OriginIndex(m_origins.size()));
     if (isNew && m_unusedOrigins.empty()) {
@@ -57,7 +57,7 @@
     return it->second;
 }
 
-void CellRequests::leave(OriginIndex origin)
+void CellRequests::releaseOrigin(OriginIndex origin)
 {
     if (--m_origins[origin].requests)
         return;
@@ -65,7 +65,7 @@
     m_unusedOrigins.push_back(origin);
 }
 
-std::vector<RequestIndex> CellRequests::from(const RouterLife& life) const
+std::vector<RequestIndex> CellRequests::requestsFrom(const RouterLife& life) const
 {
     std::vector<RequestIndex> found;
     const auto origin = m_originIndex.find(life);
@@ -75,9 +75,9 @@
         if (it.first.origin == origin->second)
             found.push_back(it.second);
     }
-    const auto isEarlier
+    const auto hasLowerSerial
         = [this](RequestIndex a, RequestIndex b) { return m_requests[a].serial < m_requests[b].serial; };
-    std::sort(found.begin(), found.end(), isEarlier);
+    std::sort(found.begin(), found.end(), hasLowerSerial);
     return found;
 }
 
--- a/src/scheduling/CellRequests.h
+++ b/src/scheduling/CellRequests.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The requests that a cell knows: waiting, granted and running.
+/// Table of the requests of a cell: waiting, granted and running.
 
 #include "scheduling/GapMeter.h"
 #include "scheduling/TargetTable.h"
@@ -10,43 +10,45 @@
 
 namespace sagechute::scheduling {
 
-/// Position of a request in its cell; reused.
+/// Index of a request in its cell; reused after removal.
 using RequestIndex = std::uint32_t;
 inline constexpr RequestIndex kNoRequest = std::numeric_limits<RequestIndex>::max();
 
 enum class RequestState : std::uint8_t {
     Waiting,
-    Granted, ///< A slot is held for it until the grant expires.
+    Granted, ///< A slot is reserved until the grant expires.
     Running,
-    Dropped, ///< Its router was dropped; remembered until the grant would have expired, in case that it was used.
+    Dropped, ///< Its router was dropped while it held a grant. Kept until the grant's expiry, in case the grant was
+             ///< used.
 };
 
-/// Position of a router life among those that requests came through; reused.
+/// Index of a router incarnation that requests came from; reused after its last request is removed.
 using OriginIndex = std::uint32_t;
 
 struct Request {
     std::uint64_t serial = 0;
-    std::uint64_t arrival = 0; ///< Its place among the offers; kept when it waits again.
+    std::uint64_t arrival = 0; ///< Sequence number of the first offer; kept when the request waits again.
     OriginIndex origin = 0;
     CustomerIndex customer = 0;
     RequestState state = RequestState::Waiting;
-    bool lapsed = false; ///< Waits again after a grant that expired, which its router may have used all the same.
-    TargetIndex target = kNoTarget; ///< Of the last grant.
-    TargetHash targetHash = 0; ///< Of the same: by now the position may be another target's.
+    /// Waits again after its grant expired; the router may have used that grant nevertheless.
+    bool grantExpired = false;
+    TargetIndex target = kNoTarget; ///< Target of the last grant.
+    TargetHash targetHash = 0; ///< Hash of that target, to detect that its index was reused.
     Cost hint = 0;
-    Cost estimate = 0; ///< Charged at the grant.
-    Cost charged = 0; ///< By now.
+    Cost estimate = 0; ///< Amount charged when the request was granted.
+    Cost charged = 0; ///< Total charged so far.
     TimePoint deadline = TimePoint::max();
-    TimePoint expires {}; ///< Its grant does.
+    TimePoint expires {}; ///< Expiry of the grant.
     std::vector<std::uint64_t> prefixes;
     std::vector<TargetHash> avoid; ///< Sorted.
 
-    // Neighbours in its customer's queue while it waits, or among the grants.
+    // Links in the customer's queue while waiting, or in the list of grants.
     RequestIndex previous = kNoRequest;
     RequestIndex next = kNoRequest;
 };
 
-/// Owns the requests. A reference to one is valid until the next create().
+/// Owns the requests. References are invalidated by create().
 class CellRequests {
 public:
     RequestIndex find(const RequestId&) const;
@@ -57,8 +59,8 @@
     Request& operator[](RequestIndex r) { return m_requests[r]; }
     const Request& operator[](RequestIndex r) const { return m_requests[r]; }
 
-    /// @return the requests that came through a router life, in the order of their serial numbers.
-    std::vector<RequestIndex> from(const RouterLife&) const;
+    /// @return the requests of a router incarnation, ordered by serial number.
+    std::vector<RequestIndex> requestsFrom(const RouterLife&) const;
 
 private:
     struct Origin {
@@ -66,7 +68,7 @@
         std::uint32_t requests = 0;
     };
 
-    /// Identity within the cell: a third of the size of a RequestId, and all keys together stay in the cache.
+    /// Identity within the cell. A third of the size of a RequestId, so that all keys fit into the CPU cache.
     struct Key {
         OriginIndex origin = 0;
         std::uint64_t serial = 0;
@@ -84,18 +86,18 @@
         }
     };
 
-    OriginIndex enter(const RouterLife&);
-    void leave(OriginIndex);
+    OriginIndex acquireOrigin(const RouterLife&);
+    void releaseOrigin(OriginIndex);
 
     std::vector<Request> m_requests;
-    std::vector<RequestIndex> m_unused;
+    std::vector<RequestIndex> m_unusedIndices;
     absl::flat_hash_map<Key, RequestIndex, KeyHash> m_index;
     std::vector<Origin> m_origins;
     std::vector<OriginIndex> m_unusedOrigins;
     absl::flat_hash_map<RouterLife, OriginIndex, LifeHash> m_originIndex;
 };
 
-/// A list through the links of its requests.
+/// Intrusive doubly linked list of requests.
 struct RequestList {
     RequestIndex first = kNoRequest;
     RequestIndex last = kNoRequest;
@@ -103,7 +105,7 @@
     bool empty() const { return first == kNoRequest; }
     void append(CellRequests&, RequestIndex);
 
-    /// Inserts by arrival; cheap near either end, where new requests and those that wait again belong.
+    /// Inserts in order of arrival. Cheap near either end, where new requests and those that wait again belong.
     void insertByArrival(CellRequests&, RequestIndex);
     void remove(CellRequests&, RequestIndex);
 
--- a/src/scheduling/CellSchedule.cpp
+++ b/src/scheduling/CellSchedule.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    // After a partition the customers that got less are preferred until the difference is down to this many times the
-    // bound.
+    // After a network partition, customers that received less service are preferred until the difference is at most
+    // this multiple of the gap bound.
     constexpr double kCompensationFactor = 4;
 
 } // namespace
@@ -22,7 +22,7 @@
         }
         endGrant(r);
         ++m_stats.expired;
-        m_requests[r].lapsed = true;
+        m_requests[r].grantExpired = true;
         startWaiting(r);
     }
 }
@@ -30,45 +30,45 @@
 void CellSchedulerCore::expireOffers(TimePoint now)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->at <= now)
-        forgetWaiting(m_deadlines.begin()->request);
+        removeWaiting(m_deadlines.begin()->request);
 }
 
-void CellSchedulerCore::reorderMoved()
+void CellSchedulerCore::applyPendingReorders()
 {
-    for (const CustomerIndex c : m_moved) {
-        m_customers[c].moved = false;
+    for (const CustomerIndex c : m_pendingReorders) {
+        m_customers[c].needsReorder = false;
         m_queues.reorder(c);
     }
-    m_moved.clear();
+    m_pendingReorders.clear();
 }
 
-double CellSchedulerCore::affinityShare() const
+double CellSchedulerCore::effectiveAffinitySlack() const
 {
-    // In order of arrival all places have the same service, so any slack would let every request overtake.
+    // With Policy::Fifo all queue keys have service 0, so any slack would let every request overtake.
     return m_settings.policy == Policy::Fifo ? 0 : std::max(0.0, m_settings.affinitySlack);
 }
 
 Cost CellSchedulerCore::estimate(const Request& request)
 {
     const Cost cost = customer(request.customer).estimator.estimate(request.hint, m_poolCost.value());
-    return boundedCost(cost);
+    return clampCost(cost);
 }
 
 Grant CellSchedulerCore::grant(TimePoint now, const GrantChooser::Choice& choice)
 {
     Request& request = m_requests[choice.request];
-    // The backlog ends before the charge: a newcomer starts level with the customer served last, not behind its
-    // request.
+    // Ends the backlog before charging. A customer that becomes backlogged next then starts level with the customer
+    // served last, instead of behind the charge for this request.
     stopWaiting(choice.request);
     request.state = RequestState::Granted;
-    request.lapsed = false;
+    request.grantExpired = false;
     request.target = choice.target;
     request.targetHash = m_targets.hash(choice.target);
     request.expires = now + m_settings.grantLifetime;
     request.estimate = estimate(request);
     m_targets.acquire(choice.target);
     m_grants.append(m_requests, choice.request);
-    m_bound.noteGrant(normalised(request, request.estimate));
+    m_gapBound.recordGrant(normalised(request, request.estimate));
     charge(request, request.estimate);
     ++m_stats.granted;
     m_stats.affinityHits += choice.prefixCached;
@@ -83,14 +83,14 @@
     expireOffers(now);
     std::vector<Grant> grants;
     while (true) {
-        reorderMoved();
-        const auto choice = m_chooser.next(affinityShare() * m_bound.spread(0, 0));
+        applyPendingReorders();
+        const auto choice = m_chooser.next(effectiveAffinitySlack() * m_gapBound.spread(0, 0));
         if (!choice)
             break;
         grants.push_back(grant(now, *choice));
     }
-    m_ledger.keepLag(m_bound.spread(affinityShare(), m_ledger.unseen()));
-    m_ledger.limitCompensation(kCompensationFactor * m_bound.gap(affinityShare(), 0));
+    m_ledger.raiseLagLimit(m_gapBound.spread(effectiveAffinitySlack(), m_ledger.unreported()));
+    m_ledger.raiseCompensationLimit(kCompensationFactor * m_gapBound.gap(effectiveAffinitySlack(), 0));
     return grants;
 }
 
@@ -107,7 +107,7 @@
 CellDigest CellSchedulerCore::digest() const
 {
     CellDigest digest { m_cell.index, m_targets.freeSlots(), m_queues.waiting() };
-    using Order = IndexedHeap<WaitingQueues::Place>;
+    using Order = IndexedHeap<WaitingQueues::ServiceKey>;
     const Order* first = &m_queues.unrestricted().order;
     for (const auto& it : m_queues.restricted()) {
         const Order& order = it.second.order;
@@ -125,7 +125,7 @@
     stats.waiting = m_queues.waiting();
     stats.slots = m_targets.slots();
     stats.freeSlots = m_targets.freeSlots();
-    stats.gapBound = m_bound.gap(affinityShare(), m_ledger.unseen());
+    stats.gapBound = m_gapBound.gap(effectiveAffinitySlack(), m_ledger.unreported());
     return stats;
 }
 
--- a/src/scheduling/CellSchedulerCore.cpp
+++ b/src/scheduling/CellSchedulerCore.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-    // A prompt of 32 KB has over a hundred prefixes; a few of every length find the shared part as well.
-    constexpr std::size_t kPrefixesKept = 16;
-    constexpr std::size_t kTargetsAvoided = 64;
+    // A prompt of 32 KB has over a hundred prefixes; an evenly spaced subset is enough to find the shared part.
+    constexpr std::size_t kMaxPrefixesPerRequest = 16;
+    constexpr std::size_t kMaxAvoidedTargets = 64;
 
     std::vector<std::uint64_t> selectPrefixes(std::vector<std::uint64_t> prefixes)
     {
-        if (prefixes.size() <= kPrefixesKept)
+        if (prefixes.size() <= kMaxPrefixesPerRequest)
             return prefixes;
         std::vector<std::uint64_t> selected;
-        for (std::size_t n = 1; n <= kPrefixesKept; ++n)
-            selected.push_back(prefixes[n * prefixes.size() / kPrefixesKept - 1]);
+        for (std::size_t n = 1; n <= kMaxPrefixesPerRequest; ++n)
+            selected.push_back(prefixes[n * prefixes.size() / kMaxPrefixesPerRequest - 1]);
         return selected;
     }
 
@@ -24,7 +24,7 @@
     {
         std::vector<TargetHash> hashes;
         for (const auto& it : targets) {
-            if (hashes.size() < kTargetsAvoided)
+            if (hashes.size() < kMaxAvoidedTargets)
                 hashes.push_back(targetHash(it));
         }
         std::sort(hashes.begin(), hashes.end());
@@ -60,10 +60,10 @@
 
 void CellSchedulerCore::onServiceChanged(CustomerIndex c)
 {
-    if (!m_queues.waitingOf(c) || m_customers[c].moved)
+    if (!m_queues.waitingOf(c) || m_customers[c].needsReorder)
         return;
-    m_customers[c].moved = true;
-    m_moved.push_back(c);
+    m_customers[c].needsReorder = true;
+    m_pendingReorders.push_back(c);
 }
 
 CellSchedulerCore::Customer& CellSchedulerCore::customer(CustomerIndex c)
@@ -82,9 +82,9 @@
 {
     const auto update = m_targets.setTargets(targets);
     for (const TargetIndex t : update.removed)
-        m_prefixes.forget(t);
+        m_prefixes.clearTarget(t);
     m_prefixes.setTargetCount(m_targets.size());
-    m_bound.noteSlots(m_targets.slots());
+    m_gapBound.recordSlots(m_targets.slots());
 }
 
 void CellSchedulerCore::setAccepting(const TargetId& target, bool accepting)
@@ -92,7 +92,7 @@
     m_targets.setAccepting(target, accepting);
 }
 
-void CellSchedulerCore::fill(Request& request, Offer&& offer) const
+void CellSchedulerCore::applyOffer(Request& request, Offer&& offer) const
 {
     request.hint = offer.hint;
     request.prefixes = selectPrefixes(std::move(offer.prefixes));
@@ -108,7 +108,7 @@
         r = kNoRequest;
     }
     if (r != kNoRequest) {
-        replace(r, std::move(offer));
+        replaceOffer(r, std::move(offer));
         return;
     }
     if (offer.deadline && *offer.deadline <= now)
@@ -116,24 +116,25 @@
     r = m_requests.create(offer.request);
     m_requests[r].customer = m_ledger.intern(offer.customer);
     m_requests[r].arrival = ++m_arrivals;
-    fill(m_requests[r], std::move(offer));
+    applyOffer(m_requests[r], std::move(offer));
     startWaiting(r);
 }
 
-void CellSchedulerCore::replace(RequestIndex r, Offer&& offer)
+void CellSchedulerCore::replaceOffer(RequestIndex r, Offer&& offer)
 {
     Request& request = m_requests[r];
     if (request.state == RequestState::Running)
         return;
     if (request.state != RequestState::Waiting) {
-        fill(request, std::move(offer));
+        applyOffer(request, std::move(offer));
         return;
     }
-    // The backlog is held meanwhile: ending and beginning it would lift a customer that waited all along.
+    // Keeps the customer backlogged meanwhile: ending and restarting the backlog would lift a customer that never
+    // stopped waiting.
     const CustomerIndex c = request.customer;
     m_ledger.addBacklog(c);
     stopWaiting(r);
-    fill(request, std::move(offer));
+    applyOffer(request, std::move(offer));
     startWaiting(r);
     m_ledger.removeBacklog(c);
 }
@@ -143,7 +144,7 @@
     Request& request = m_requests[r];
     request.state = RequestState::Waiting;
     customer(request.customer);
-    // First the ledger: the lift decides the place in the queue.
+    // The ledger comes first, since the lift changes the customer's key in the queue.
     if (!m_queues.waitingOf(request.customer))
         m_ledger.addBacklog(request.customer);
     m_queues.add(r);
@@ -161,7 +162,7 @@
         m_ledger.removeBacklog(request.customer);
 }
 
-void CellSchedulerCore::forgetWaiting(RequestIndex r)
+void CellSchedulerCore::removeWaiting(RequestIndex r)
 {
     stopWaiting(r);
     m_requests.remove(r);
@@ -173,7 +174,7 @@
     if (r == kNoRequest)
         return;
     if (m_requests[r].state == RequestState::Waiting)
-        forgetWaiting(r);
+        removeWaiting(r);
     else if (m_requests[r].state == RequestState::Granted)
         decline(now, id);
 }
@@ -187,9 +188,10 @@
     if (request.state == RequestState::Granted) {
         endGrant(r);
     } else if (request.state == RequestState::Running) {
-        // An owner that trusts its streams takes every grant for used and hears of the exception only.
+        // An owner with a reliable stream to the router assumes that every grant is used and is told of exceptions
+        // only.
         --m_stats.running;
-        giveBack(request);
+        refund(request);
     } else {
         return;
     }
@@ -202,7 +204,7 @@
     request.charged = total;
 }
 
-void CellSchedulerCore::run(Request& request, TargetIndex target)
+void CellSchedulerCore::setRunning(Request& request, TargetIndex target)
 {
     m_targets.acquire(target);
     request.target = target;
@@ -213,13 +215,13 @@
 void CellSchedulerCore::endGrant(RequestIndex r)
 {
     m_grants.remove(m_requests, r);
-    giveBack(m_requests[r]);
+    refund(m_requests[r]);
 }
 
-void CellSchedulerCore::giveBack(Request& request)
+void CellSchedulerCore::refund(Request& request)
 {
     m_targets.release(request.target);
-    m_bound.noteEnd(normalised(request, request.estimate), 0);
+    m_gapBound.recordEnd(normalised(request, request.estimate), 0);
     charge(request, 0);
 }
 
@@ -233,16 +235,16 @@
 {
     const RequestIndex r = m_requests.find(id);
     if (r != kNoRequest)
-        isRunning(r);
+        ensureRunning(r);
 }
 
-bool CellSchedulerCore::isRunning(RequestIndex r)
+bool CellSchedulerCore::ensureRunning(RequestIndex r)
 {
     Request& request = m_requests[r];
     if (request.state == RequestState::Running)
         return true;
     if (request.state != RequestState::Granted)
-        return takeUpLapsed(r);
+        return recoverExpiredGrant(r);
     m_grants.remove(m_requests, r);
     request.state = RequestState::Running;
     ++m_stats.running;
@@ -252,13 +254,13 @@
 void CellSchedulerCore::progress(TimePoint, const RequestId& id, Cost soFar)
 {
     const RequestIndex r = m_requests.find(id);
-    if (r == kNoRequest || !isRunning(r) || !isCost(soFar))
+    if (r == kNoRequest || !ensureRunning(r) || !isValidCost(soFar))
         return;
     Request& request = m_requests[r];
-    const Cost cost = boundedCost(soFar);
+    const Cost cost = clampCost(soFar);
     if (cost <= request.charged)
         return;
-    m_bound.noteEnd(normalised(request, request.estimate), normalised(request, cost));
+    m_gapBound.recordEnd(normalised(request, request.estimate), normalised(request, cost));
     charge(request, cost);
 }
 
@@ -267,10 +269,10 @@
     const RequestIndex r = m_requests.find(id);
     if (r == kNoRequest)
         return;
-    if (isRunning(r))
+    if (ensureRunning(r))
         finish(r, final);
     else
-        forgetWaiting(r);
+        removeWaiting(r);
 }
 
 void CellSchedulerCore::finish(RequestIndex r, Cost final)
@@ -278,11 +280,11 @@
     Request& request = m_requests[r];
     --m_stats.running;
     m_targets.release(request.target);
-    if (isCost(final)) {
-        const Cost cost = boundedCost(final);
-        m_bound.noteEnd(normalised(request, request.estimate), normalised(request, cost));
+    if (isValidCost(final)) {
+        const Cost cost = clampCost(final);
+        m_gapBound.recordEnd(normalised(request, request.estimate), normalised(request, cost));
         charge(request, cost);
-        // What did not run says nothing about costs.
+        // A request that did not run is no sample of its customer's costs.
         if (cost > 0) {
             customer(request.customer).estimator.learn(request.hint, cost);
             m_poolCost.add(cost);
@@ -320,7 +322,7 @@
 {
     const TargetIndex t = m_targets.find(target);
     if (t != kNoTarget)
-        m_prefixes.forget(t);
+        m_prefixes.clearTarget(t);
 }
 
 } // namespace sagechute::scheduling
--- a/src/scheduling/CellSchedulerCore.h
+++ b/src/scheduling/CellSchedulerCore.h
@@ -44,36 +44,37 @@
 
     struct Customer {
         CostEstimator estimator;
-        bool moved = false; ///< Its virtual service changed since its place was set.
+        bool needsReorder = false; ///< Its virtual service changed since its queue keys were set.
     };
 
     void onServiceChanged(CustomerIndex) override;
     Customer& customer(CustomerIndex);
     Cost normalised(const Request&, Cost) const;
 
-    void fill(Request&, Offer&&) const;
-    void replace(RequestIndex, Offer&&);
+    void applyOffer(Request&, Offer&&) const;
+    void replaceOffer(RequestIndex, Offer&&);
     void startWaiting(RequestIndex);
     void stopWaiting(RequestIndex);
-    void forgetWaiting(RequestIndex);
+    void removeWaiting(RequestIndex);
 
-    void run(Request&, TargetIndex);
+    void setRunning(Request&, TargetIndex);
     void charge(Request&, Cost total);
-    void giveBack(Request&);
+    void refund(Request&);
     void endGrant(RequestIndex);
     void endDroppedGrant(RequestIndex);
-    bool takeUpLapsed(RequestIndex);
+    bool recoverExpiredGrant(RequestIndex);
 
-    /// Any word of a granted request from its router shows that it runs.
-    bool isRunning(RequestIndex);
+    /// Marks a request as running after a message from its router, since any message on a granted request implies that
+    /// the grant was used. @return false if the request is still waiting.
+    bool ensureRunning(RequestIndex);
     void seedEstimates(const Request&);
     void finish(RequestIndex, Cost final);
-    void dropFrom(RequestIndex);
+    void dropRequest(RequestIndex);
 
     void expireGrants(TimePoint now);
     void expireOffers(TimePoint now);
-    void reorderMoved();
-    double affinityShare() const;
+    void applyPendingReorders();
+    double effectiveAffinitySlack() const;
     Cost estimate(const Request&);
     Grant grant(TimePoint now, const GrantChooser::Choice&);
 
@@ -85,12 +86,13 @@
     CellRequests m_requests;
     WaitingQueues m_queues;
     GrantChooser m_chooser;
-    GapBound m_bound;
+    GapBound m_gapBound;
     MovingMean m_poolCost;
     std::vector<Customer> m_customers;
-    std::vector<CustomerIndex> m_moved;
-    RequestList m_grants; ///< Granted and dropped requests; in order of expiry, since every grant lives equally long.
-    std::set<Deadline> m_deadlines; ///< Of waiting requests.
+    std::vector<CustomerIndex> m_pendingReorders;
+    /// Granted and dropped requests, in order of expiry, since all grants have the same lifetime.
+    RequestList m_grants;
+    std::set<Deadline> m_deadlines; ///< Deadlines of waiting requests.
     std::uint64_t m_arrivals = 0;
     CellStats m_stats;
 };
--- a/src/scheduling/CostEstimator.cpp
+++ b/src/scheduling/CostEstimator.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-    constexpr Cost kEstimateOfNothing = 1;
-    constexpr std::uint32_t kHintsBeforeTrust = 8;
-    constexpr double kHintAdvantage = 0.8;
+    constexpr Cost kDefaultEstimate = 1;
+    constexpr std::uint32_t kMinHintSamples = 8;
+    constexpr double kMaxHintErrorRatio = 0.8;
     constexpr double kClampFactor = 4;
 
     bool isHint(Cost hint) { return std::isfinite(hint) && hint > 0 && hint <= kLargestCost; }
@@ -17,13 +17,13 @@
 
 bool CostEstimator::hintsAreReliable() const
 {
-    return m_hintError.samples() >= kHintsBeforeTrust && m_hintError.value() < kHintAdvantage * m_costError.value();
+    return m_hintError.samples() >= kMinHintSamples && m_hintError.value() < kMaxHintErrorRatio * m_costError.value();
 }
 
 Cost CostEstimator::estimate(Cost hint, Cost poolMean) const
 {
     if (!m_cost.samples())
-        return poolMean > 0 ? poolMean : kEstimateOfNothing;
+        return poolMean > 0 ? poolMean : kDefaultEstimate;
     const Cost mean = m_cost.value();
     if (!isHint(hint) || !hintsAreReliable())
         return mean;
@@ -32,8 +32,8 @@
 
 void CostEstimator::learn(Cost hint, Cost actual)
 {
-    // The errors are those of the predictions made before this sample was known; else the hint's ratio would fit
-    // itself.
+    // Errors are taken from predictions made before this sample is added. Otherwise the ratio would be tested against
+    // the sample that it was just fitted to.
     if (m_cost.samples())
         m_costError.add(std::abs(actual - m_cost.value()));
     m_cost.add(actual);
--- a/src/scheduling/CostEstimator.h
+++ b/src/scheduling/CostEstimator.h
@@ -1,28 +1,27 @@
 #pragma once
 
 /// @file
-/// Estimates what a request will cost before it runs.
+/// Estimation of the cost of a request before it runs.
 
 #include "scheduling/Costs.h"
 #include "scheduling/MovingMean.h"
 
 namespace sagechute::scheduling {
 
-/// Estimate for one customer: the mean of its past costs, or the caller's hint times a learned ratio once hints have
-/// proved better than the mean. The estimate only orders requests until their settlement, so an error is bounded by
-/// what runs at a time; but a hint of 1e-9 on every request would still win that much each time, hence the clamp around
-/// the mean.
+/// Cost estimator for one customer: the moving mean of past costs, or the caller's hint scaled by a learned ratio once
+/// hints have proved more accurate than the mean. An estimate is replaced by the actual cost at settlement, so its
+/// error is bounded by the requests that run concurrently. A customer that sends a hint of 1e-9 with every request
+/// would still gain that much each time, so hinted estimates are clamped to a range around the mean.
 class CostEstimator {
 public:
-    /// @param hint the caller's guess; anything but a positive finite number means none.
-    /// @param poolMean mean cost over all customers, used before this one's first settlement; 0 when not known either.
+    /// @param hint the caller's estimate; ignored unless positive, finite and at most kLargestCost.
+    /// @param poolMean mean cost over all customers, used before this customer's first settlement; 0 if unknown.
     Cost estimate(Cost hint, Cost poolMean) const;
 
-    /// @param hint the same hint that estimate() got.
-    /// @param actual cost at the end of the request.
+    /// Adds the actual cost of a settled request. @param hint as passed to estimate().
     void learn(Cost hint, Cost actual);
 
-    bool hasLearned() const { return m_cost.samples() > 0; }
+    bool hasSamples() const { return m_cost.samples() > 0; }
 
 private:
     bool hintsAreReliable() const;
--- a/src/scheduling/Costs.h
+++ b/src/scheduling/Costs.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Limits on the costs that callers, targets and peers report.
+/// Validation of costs reported by callers, targets and peers.
 
 #include <sagechute/Core.h>
 
@@ -9,14 +9,15 @@
 
 namespace sagechute::scheduling {
 
-/// A single report of 1e300 would raise a customer's service for good, and additions to such a sum would round to
-/// nothing: the customer would never be served again. No honest request comes near this bound.
+/// Upper limit for a single reported cost, far above that of any real request. A report of 1e300 would raise the
+/// customer's service permanently, and later additions would be lost to rounding, so the customer would never be served
+/// again.
 inline constexpr Cost kLargestCost = 1e9;
 
-/// @return whether a reported cost can be an amount of service at all.
-inline bool isCost(Cost cost) { return std::isfinite(cost) && cost >= 0; }
+/// @return whether a reported cost is a valid amount of service: finite and not negative.
+inline bool isValidCost(Cost cost) { return std::isfinite(cost) && cost >= 0; }
 
-/// @return @p cost, at most kLargestCost. @param cost an amount for which isCost() holds.
-inline Cost boundedCost(Cost cost) { return std::min(cost, kLargestCost); }
+/// Limits a cost to kLargestCost. @param cost must satisfy isValidCost().
+inline Cost clampCost(Cost cost) { return std::min(cost, kLargestCost); }
 
 } // namespace sagechute::scheduling
--- a/src/scheduling/GapBound.h
+++ b/src/scheduling/GapBound.h
@@ -1,26 +1,26 @@
 #pragma once
 
 /// @file
-/// The bound on the service gap, from the costs seen.
+/// Upper bound on the service gap, computed from observed costs.
 
 #include <sagechute/Core.h>
 
 namespace sagechute::scheduling {
 
-/// Keeps what the formula of docs/design/fairness.md needs. All costs are normalised: divided by the customer's weight.
+/// Inputs of the bound derived in docs/design/fairness.md. All costs are normalised: divided by the customer's weight.
 class GapBound {
 public:
-    void noteGrant(Cost estimate) { m_largestCost = std::max(m_largestCost, estimate); }
-    void noteEnd(Cost estimate, Cost actual);
-    void noteSlots(std::uint32_t slots) { m_slots = std::max(m_slots, slots); }
+    void recordGrant(Cost estimate) { m_largestCost = std::max(m_largestCost, estimate); }
+    void recordEnd(Cost estimate, Cost actual);
+    void recordSlots(std::uint32_t slots) { m_slots = std::max(m_slots, slots); }
 
-    /// @return how far a backlogged customer's virtual service can be above the smallest.
-    /// @param affinityShare part of the spread without it that affinity may use on top.
-    /// @param unseen what other owners may have charged without this one knowing.
-    Cost spread(double affinityShare, Cost unseen) const;
+    /// @return the maximum by which a backlogged customer's virtual service can exceed the smallest one.
+    /// @param affinitySlack additional deviation for prefix affinity, as a fraction of the spread without affinity.
+    /// @param unreported service that other owners may have charged and not yet reported to this one.
+    Cost spread(double affinitySlack, Cost unreported) const;
 
-    /// @return the largest service gap between two customers that stay backlogged.
-    Cost gap(double affinityShare, Cost unseen) const;
+    /// @return the maximum service gap between two customers that stay backlogged.
+    Cost gap(double affinitySlack, Cost unreported) const;
 
 private:
     Cost m_largestCost = 0;
--- a/src/scheduling/GapMeter.cpp
+++ b/src/scheduling/GapMeter.cpp
@@ -16,7 +16,7 @@
 {
     customer(c).service += normalised;
     ++m_addsSinceSample;
-    // One copy of n numbers per n charges keeps the cost of a charge constant.
+    // Copying n values once every n charges keeps the amortised cost of a charge constant.
     if (m_addsSinceSample >= m_customers.size())
         takeSample();
 }
@@ -38,8 +38,8 @@
 void GapMeter::takeSample()
 {
     m_addsSinceSample = 0;
-    if (m_samples.size() == kSamplesKept)
-        thinOut();
+    if (m_samples.size() == kMaxSamples)
+        decimateSamples();
     Sample sample;
     sample.serial = ++m_serial;
     sample.services.reserve(m_customers.size());
@@ -48,12 +48,12 @@
     m_samples.push_back(std::move(sample));
 }
 
-void GapMeter::thinOut()
+void GapMeter::decimateSamples()
 {
-    // Every second one of the older half goes, so that old samples lie ever further apart.
+    // Drops every second sample of the older half, so that the spacing of samples increases with age.
     std::size_t kept = 0;
     for (std::size_t n = 0; n < m_samples.size(); ++n) {
-        if (n < kSamplesKept / 2 && n % 2)
+        if (n < kMaxSamples / 2 && n % 2)
             continue;
         if (kept != n)
             m_samples[kept] = std::move(m_samples[n]);
@@ -70,9 +70,9 @@
         const Customer& it = m_customers[n];
         if (!it.backloggedSince || it.backloggedSince > sample.serial)
             continue;
-        const Cost got = it.service - sample.services[n];
-        least = std::min(least, got);
-        most = std::max(most, got);
+        const Cost received = it.service - sample.services[n];
+        least = std::min(least, received);
+        most = std::max(most, received);
     }
     return std::max<Cost>(0, most - least);
 }
--- a/src/scheduling/GapMeter.h
+++ b/src/scheduling/GapMeter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Measures the service gap between backlogged customers.
+/// Measurement of the service gap between backlogged customers.
 
 #include <sagechute/Core.h>
 
@@ -9,31 +9,31 @@
 
 namespace sagechute::scheduling {
 
-/// Position of a customer in the tables of one ledger and its schedulers.
+/// Index of a customer in the tables of one ledger and its schedulers.
 using CustomerIndex = std::uint32_t;
 
-/// Accumulated normalised service per customer, with samples of the past. For two customers backlogged without a break
-/// since a sample, the difference of what each got since then is a true gap; the measure is the largest over all
-/// samples. Keeping for each pair the moment when the later one became backlogged would take the square of the
-/// customers in memory.
+/// Accumulates normalised service per customer and keeps past samples of it. For two customers that have been
+/// backlogged continuously since a sample, the difference in service received since then is a service gap; the result
+/// is the largest gap over all samples. Recording for each pair when the later customer became backlogged would be
+/// exact, but needs memory quadratic in the number of customers.
 class GapMeter {
 public:
     void add(CustomerIndex, Cost normalised);
 
-    /// Adds service from before the time that this meter has seen: a history that was learned late is no gap.
+    /// Adds service that was charged before the oldest sample and only became known now. It does not count as a gap.
     void addHistory(CustomerIndex, Cost normalised);
 
     void setBacklogged(CustomerIndex, bool);
 
-    /// @return the largest gap; O(customers × kept samples).
+    /// @return the largest gap, in O(customers × samples).
     Cost largestGap() const;
 
 private:
-    static constexpr std::size_t kSamplesKept = 32;
+    static constexpr std::size_t kMaxSamples = 32;
 
     struct Customer {
         Cost service = 0;
-        std::uint64_t backloggedSince = 0; ///< Serial of the event, or 0 while not backlogged.
+        std::uint64_t backloggedSince = 0; ///< Serial number of the event, or 0 while not backlogged.
     };
 
     struct Sample {
@@ -43,7 +43,7 @@
 
     Customer& customer(CustomerIndex);
     void takeSample();
-    void thinOut();
+    void decimateSamples();
     Cost gapSince(const Sample&) const;
 
     std::vector<Customer> m_customers;
--- a/src/scheduling/GrantChooser.cpp
+++ b/src/scheduling/GrantChooser.cpp
@@ -22,16 +22,16 @@
 {
 }
 
-TargetIndex GrantChooser::leastLoaded(const std::vector<TargetHash>& avoid) const
+TargetIndex GrantChooser::leastLoadedTarget(const std::vector<TargetHash>& avoid) const
 {
-    for (const auto& it : m_targets.free()) {
+    for (const auto& it : m_targets.freeTargets()) {
         if (!contains(avoid, m_targets.hash(it.target)))
             return it.target;
     }
     return kNoTarget;
 }
 
-TargetIndex GrantChooser::cached(RequestIndex r) const
+TargetIndex GrantChooser::bestCachedTarget(RequestIndex r) const
 {
     const Request& request = m_requests[r];
     if (request.prefixes.empty())
@@ -40,11 +40,11 @@
         request.prefixes, m_targets, [&](TargetIndex t) { return !contains(request.avoid, m_targets.hash(t)); });
 }
 
-void GrantChooser::takeIfFirst(const WaitingQueues::Group& group, Head& first) const
+void GrantChooser::considerGroup(const WaitingQueues::Group& group, Head& first) const
 {
     if (group.order.empty() || (first && first.group->order.top().key < group.order.top().key))
         return;
-    const TargetIndex t = leastLoaded(group.avoid);
+    const TargetIndex t = leastLoadedTarget(group.avoid);
     if (t != kNoTarget)
         first = { &group, t };
 }
@@ -52,40 +52,40 @@
 GrantChooser::Head GrantChooser::firstServable() const
 {
     Head first;
-    takeIfFirst(m_queues.unrestricted(), first);
+    considerGroup(m_queues.unrestricted(), first);
     for (const auto& it : m_queues.restricted())
-        takeIfFirst(it.second, first);
+        considerGroup(it.second, first);
     return first;
 }
 
-std::optional<GrantChooser::Choice> GrantChooser::cachedWithin(const WaitingQueues::Group& group, Cost slack) const
+std::optional<GrantChooser::Choice> GrantChooser::cachedWithinSlack(const WaitingQueues::Group& group, Cost slack) const
 {
     std::optional<Choice> choice;
     if (m_prefixes.empty())
         return choice;
-    const Cost most = group.order.top().key.service + slack;
-    std::size_t looks = 0;
-    group.order.visit([&](const auto& place) {
-        if (place.key.service > most)
+    const Cost limit = group.order.top().key.service + slack;
+    std::size_t scanned = 0;
+    group.order.visit([&](const auto& entry) {
+        if (entry.key.service > limit)
             return false;
-        const RequestIndex r = m_queues.head(group, place.item);
-        const TargetIndex t = cached(r);
+        const RequestIndex r = m_queues.head(group, entry.item);
+        const TargetIndex t = bestCachedTarget(r);
         if (t != kNoTarget)
             choice = Choice { r, t, true };
-        ++looks;
-        return !choice && slack > 0 && looks < kCustomersLookedAt;
+        ++scanned;
+        return !choice && slack > 0 && scanned < kMaxCustomersScanned;
     });
     return choice;
 }
 
 std::optional<GrantChooser::Choice> GrantChooser::next(Cost slack) const
 {
-    if (m_targets.free().empty())
+    if (m_targets.freeTargets().empty())
         return std::nullopt;
     const Head head = firstServable();
     if (!head)
         return std::nullopt;
-    if (const auto choice = cachedWithin(*head.group, slack))
+    if (const auto choice = cachedWithinSlack(*head.group, slack))
         return choice;
     return Choice { m_queues.head(*head.group, head.group->order.top().item), head.target };
 }
--- a/src/scheduling/GrantChooser.h
+++ b/src/scheduling/GrantChooser.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// The choice of the next request and its target.
+/// Selection of the next request to grant and its target.
 
 #include "scheduling/PrefixIndex.h"
 #include "scheduling/WaitingQueues.h"
 
 namespace sagechute::scheduling {
 
-/// Picks the next grant from the waiting requests and the free slots.
+/// Selects the next grant from the waiting requests and the free slots.
 class GrantChooser {
 public:
     GrantChooser(const CellRequests&, const WaitingQueues&, const TargetTable&, const PrefixIndex&);
@@ -19,14 +19,14 @@
         bool prefixCached = false;
     };
 
-    /// @param slack how far a customer may be above the smallest virtual service and still go first because a free
-    /// target has its prompt's prefix cached; 0 keeps the order strict.
-    /// @return nothing when no free slot can take any waiting request.
+    /// @param slack the maximum by which a customer's virtual service may exceed the smallest one if the customer is
+    /// preferred because a free target has its prompt's prefix cached; 0 keeps the order strict.
+    /// @return nullopt when no free slot can take any waiting request.
     std::optional<Choice> next(Cost slack) const;
 
 private:
-    // Looking further would cost more than a cache hit is worth.
-    static constexpr std::size_t kCustomersLookedAt = 8;
+    // Scanning more customers would cost more than a cache hit saves.
+    static constexpr std::size_t kMaxCustomersScanned = 8;
 
     struct Head {
         const WaitingQueues::Group* group = nullptr;
@@ -35,11 +35,11 @@
         explicit operator bool() const { return group; }
     };
 
-    TargetIndex leastLoaded(const std::vector<TargetHash>& avoid) const;
-    TargetIndex cached(RequestIndex) const;
-    void takeIfFirst(const WaitingQueues::Group&, Head& first) const;
+    TargetIndex leastLoadedTarget(const std::vector<TargetHash>& avoid) const;
+    TargetIndex bestCachedTarget(RequestIndex) const;
+    void considerGroup(const WaitingQueues::Group&, Head& first) const;
     Head firstServable() const;
-    std::optional<Choice> cachedWithin(const WaitingQueues::Group&, Cost slack) const;
+    std::optional<Choice> cachedWithinSlack(const WaitingQueues::Group&, Cost slack) const;
 
     const CellRequests& m_requests;
     const WaitingQueues& m_queues;
--- a/src/scheduling/IndexedHeap.h
+++ b/src/scheduling/IndexedHeap.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A priority queue whose entries can be moved and removed.
+/// Addressable priority queue: entries can be updated and removed by item.
 
 #include <algorithm>
 #include <cstdint>
@@ -10,8 +10,8 @@
 
 namespace sagechute::scheduling {
 
-/// Smallest key first, over items numbered from 0. One flat array with four children per entry: at a thousand items an
-/// update touches a few cache lines, where a tree touches one per level.
+/// 4-ary min-heap over items numbered from 0, in a flat array. With a thousand items an update touches a few cache
+/// lines, whereas a balanced tree touches one per level.
 template <typename Key> class IndexedHeap {
 public:
     struct Entry {
@@ -21,7 +21,7 @@
 
     bool empty() const { return m_entries.empty(); }
     std::size_t size() const { return m_entries.size(); }
-    bool contains(std::uint32_t item) const { return item < m_positions.size() && m_positions[item] != kNowhere; }
+    bool contains(std::uint32_t item) const { return item < m_positions.size() && m_positions[item] != kNoPosition; }
     const Entry& top() const { return m_entries.front(); }
     const std::vector<Entry>& entries() const { return m_entries; }
 
@@ -29,8 +29,8 @@
     void set(std::uint32_t item, const Key& key)
     {
         if (item >= m_positions.size())
-            m_positions.resize(item + 1, kNowhere);
-        if (m_positions[item] == kNowhere) {
+            m_positions.resize(item + 1, kNoPosition);
+        if (m_positions[item] == kNoPosition) {
             m_entries.push_back({ key, item });
             siftUp(m_entries.size() - 1);
             return;
@@ -47,7 +47,7 @@
     void erase(std::uint32_t item)
     {
         const std::size_t position = m_positions[item];
-        m_positions[item] = kNowhere;
+        m_positions[item] = kNoPosition;
         const Entry last = m_entries.back();
         m_entries.pop_back();
         if (position == m_entries.size())
@@ -57,7 +57,8 @@
         siftDown(m_positions[last.item]);
     }
 
-    /// Visits entries in the order of their keys until @p visitor returns false; O(k log k) for k entries.
+    /// Visits entries in ascending order of their keys until @p visitor returns false. Searches the candidates
+    /// linearly, which suits callers that stop after a few entries.
     template <typename Visitor> void visit(const Visitor& visitor) const
     {
         if (m_entries.empty())
@@ -83,9 +84,9 @@
 
 private:
     static constexpr std::size_t kChildren = 4;
-    static constexpr std::uint32_t kNowhere = std::numeric_limits<std::uint32_t>::max();
+    static constexpr std::uint32_t kNoPosition = std::numeric_limits<std::uint32_t>::max();
 
-    void put(std::size_t position, const Entry& entry)
+    void place(std::size_t position, const Entry& entry)
     {
         m_entries[position] = entry;
         m_positions[entry.item] = std::uint32_t(position);
@@ -98,10 +99,10 @@
             const std::size_t parent = (position - 1) / kChildren;
             if (!(entry.key < m_entries[parent].key))
                 break;
-            put(position, m_entries[parent]);
+            place(position, m_entries[parent]);
             position = parent;
         }
-        put(position, entry);
+        place(position, entry);
     }
 
     std::size_t smallestChild(std::size_t position) const
@@ -123,14 +124,14 @@
             const std::size_t child = smallestChild(position);
             if (!(m_entries[child].key < entry.key))
                 break;
-            put(position, m_entries[child]);
+            place(position, m_entries[child]);
             position = child;
         }
-        put(position, entry);
+        place(position, entry);
     }
 
     std::vector<Entry> m_entries;
-    std::vector<std::uint32_t> m_positions; ///< By item.
+    std::vector<std::uint32_t> m_positions; ///< Position in m_entries, by item.
 };
 
 } // namespace sagechute::scheduling
--- a/src/scheduling/LedgerCore.cpp
+++ b/src/scheduling/LedgerCore.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-    constexpr double kSmallestWeight = 1e-3;
-    constexpr double kLargestWeight = 1e6;
-    // No sum of honest charges reaches this; a peer's value beyond it is damage and would stick.
-    constexpr Cost kLargestService = 1e15;
-    constexpr double kUsualStepsCompensated = 32;
-    constexpr std::uint32_t kCustomersInTurn = 4;
-    constexpr std::uint32_t kCustomersLookedAt = 64;
+    constexpr double kMinWeight = 1e-3;
+    constexpr double kMaxWeight = 1e6;
+    // Far above any real sum of charges. A larger value from a peer is corrupt, and would stay in the ledger
+    // permanently.
+    constexpr Cost kMaxService = 1e15;
+    constexpr double kCompensatedMeanSteps = 32;
+    constexpr std::uint32_t kMaxRefreshedPerSummary = 4;
+    constexpr std::uint32_t kMaxScannedPerSummary = 64;
 
-    bool isService(Cost service) { return std::isfinite(service) && std::abs(service) <= kLargestService; }
+    bool isValidService(Cost service) { return std::isfinite(service) && std::abs(service) <= kMaxService; }
 
 } // namespace
 
@@ -28,7 +29,7 @@
 LedgerCore::LedgerCore(PoolId pool, RouterLife self)
     : m_pool(std::move(pool))
     , m_self(self)
-    , m_lives(std::move(self))
+    , m_remote(std::move(self))
 {
 }
 
@@ -44,7 +45,7 @@
 {
     if (!(weight > 0))
         return;
-    m_customers[intern(id)].weight = std::clamp(weight, kSmallestWeight, kLargestWeight);
+    m_customers[intern(id)].weight = std::clamp(weight, kMinWeight, kMaxWeight);
 }
 
 Cost LedgerCore::virtualService(const CustomerId& id) const
@@ -63,11 +64,11 @@
     const Cost normalised = std::clamp(cost, -kLargestCost, kLargestCost) / customer.weight;
     customer.own += normalised;
     m_meter.add(c, normalised);
-    tell(c);
-    serviceMoved(c);
+    markChanged(c);
+    notifyServiceChanged(c);
 }
 
-void LedgerCore::tell(CustomerIndex c)
+void LedgerCore::markChanged(CustomerIndex c)
 {
     if (m_customers[c].changed)
         return;
@@ -75,28 +76,28 @@
     m_changed.push_back(c);
 }
 
-void LedgerCore::serviceMoved(CustomerIndex c)
+void LedgerCore::notifyServiceChanged(CustomerIndex c)
 {
-    if (m_order.contains(c))
-        m_order.set(c, virtualService(c));
+    if (m_backloggedOrder.contains(c))
+        m_backloggedOrder.set(c, virtualService(c));
     for (auto* it : m_observers)
         it->serviceChanged(c);
 }
 
-Cost LedgerCore::onLift(Cost service, Cost leftAt, Cost virtualTime) const
+Cost LedgerCore::liftFor(Cost service, Cost idleSince, Cost virtualTime) const
 {
-    // By as much as virtual time went on meanwhile: idleness earns nothing, and neither lag nor debt is lost.
-    const Cost passed = std::max<Cost>(0, virtualTime - leftAt);
-    const Cost lifted = std::max(service + passed, virtualTime - m_lagKept);
+    // Adds the advance of virtual time while the customer was idle: it earns no credit, and keeps its lag or debt.
+    const Cost advance = std::max<Cost>(0, virtualTime - idleSince);
+    const Cost lifted = std::max(service + advance, virtualTime - m_lagLimit);
     return std::max<Cost>(0, std::min(lifted, virtualTime) - service);
 }
 
 void LedgerCore::setBacklogged(const CustomerId& id, bool backlogged)
 {
     const CustomerIndex c = intern(id);
-    if (m_customers[c].backloggedByName == backlogged)
+    if (m_customers[c].explicitlyBacklogged == backlogged)
         return;
-    m_customers[c].backloggedByName = backlogged;
+    m_customers[c].explicitlyBacklogged = backlogged;
     if (backlogged)
         addBacklog(c);
     else
@@ -107,17 +108,17 @@
 {
     Customer& customer = m_customers[c];
     if (!customer.ownBacklogs)
-        tell(c);
+        markChanged(c);
     if (!customer.backlogged()) {
-        const Cost lift = onLift(customer.virtualService(), customer.leftAt, virtualTime());
+        const Cost lift = liftFor(customer.virtualService(), customer.idleSince, virtualTime());
         if (lift > 0) {
             customer.lift += lift;
-            serviceMoved(c);
+            notifyServiceChanged(c);
         }
         enterBacklogged(c);
     }
     ++customer.ownBacklogs;
-    customer.wasBacklogged = true;
+    customer.backloggedSinceReport = true;
 }
 
 void LedgerCore::removeBacklog(CustomerIndex c)
@@ -125,24 +126,24 @@
     Customer& customer = m_customers[c];
     --customer.ownBacklogs;
     if (!customer.ownBacklogs)
-        tell(c);
+        markChanged(c);
     if (!customer.backlogged())
         leaveBacklogged(c);
 }
 
 void LedgerCore::enterBacklogged(CustomerIndex c)
 {
-    m_order.set(c, virtualService(c));
+    m_backloggedOrder.set(c, virtualService(c));
     m_meter.setBacklogged(c, true);
 }
 
 void LedgerCore::leaveBacklogged(CustomerIndex c)
 {
-    // Once the last one has left, nothing shows how far service had come.
-    if (m_order.size() == 1)
-        noteVirtualTime();
-    m_order.erase(c);
-    m_customers[c].leftAt = virtualTime();
+    // Records the virtual time, which cannot be derived any more once the last backlogged customer is removed.
+    if (m_backloggedOrder.size() == 1)
+        updateVirtualTime();
+    m_backloggedOrder.erase(c);
+    m_customers[c].idleSince = virtualTime();
     m_meter.setBacklogged(c, false);
 }
 
@@ -151,14 +152,14 @@
     for (const auto& it : changes) {
         Customer& customer = m_customers[it.customer];
         const bool was = customer.backlogged();
-        customer.otherBacklogs += it.backlogs;
+        customer.remoteBacklogs += it.backlogs;
         if (it.service != 0) {
-            customer.others += it.service;
+            customer.remote += it.service;
             if (it.history)
                 m_meter.addHistory(it.customer, it.service);
             else
                 m_meter.add(it.customer, it.service);
-            serviceMoved(it.customer);
+            notifyServiceChanged(it.customer);
         }
         if (was && !customer.backlogged())
             leaveBacklogged(it.customer);
@@ -169,120 +170,121 @@
 
 void LedgerCore::mergeLift(CustomerIndex c, Cost lift)
 {
-    if (!isService(lift) || lift <= m_customers[c].lift)
+    if (!isValidService(lift) || lift <= m_customers[c].lift)
         return;
     m_customers[c].lift = lift;
-    serviceMoved(c);
+    notifyServiceChanged(c);
 }
 
-void LedgerCore::absorb(const PoolSummary& summary)
+void LedgerCore::mergeSummary(const PoolSummary& summary)
 {
     if (summary.pool != m_pool || summary.life == m_self)
         return;
-    if (isService(summary.virtualTime))
+    if (isValidService(summary.virtualTime))
         m_virtualTime = std::max(m_virtualTime, summary.virtualTime);
     std::vector<ServiceReport> reports;
     reports.reserve(summary.customers.size());
     for (const auto& it : summary.customers) {
-        if (!isService(it.service))
+        if (!isValidService(it.service))
             continue;
         const CustomerIndex c = intern(it.customer);
         mergeLift(c, it.lift);
         reports.push_back({ c, it.service, it.backlogged });
     }
-    const Cost usualStep = m_lives.usualStep();
+    const Cost meanStep = m_remote.meanStep();
     if (summary.life.vm.empty())
-        apply(m_lives.absorbBase(reports));
+        apply(m_remote.mergeBase(reports));
     else
-        apply(m_lives.absorb(summary.life, summary.sequence, summary.full, reports));
-    boundCompensation(usualStep);
+        apply(m_remote.mergeReports(summary.life, summary.sequence, summary.full, reports));
+    enforceCompensationLimit(meanStep);
 }
 
-void LedgerCore::boundCompensation(Cost usualStep)
+void LedgerCore::enforceCompensationLimit(Cost meanStep)
 {
-    if (m_compensation <= 0)
+    if (m_compensationLimit <= 0)
         return;
-    Cost most = 0;
-    for (const auto& it : m_order.entries())
-        most = std::max(most, it.key);
-    const Cost least = most - m_compensation - kUsualStepsCompensated * usualStep;
+    Cost maxService = 0;
+    for (const auto& it : m_backloggedOrder.entries())
+        maxService = std::max(maxService, it.key);
+    const Cost minService = maxService - m_compensationLimit - kCompensatedMeanSteps * meanStep;
     std::vector<CustomerIndex> behind;
-    for (const auto& it : m_order.entries()) {
-        if (it.key < least)
+    for (const auto& it : m_backloggedOrder.entries()) {
+        if (it.key < minService)
             behind.push_back(it.item);
     }
     for (const CustomerIndex c : behind) {
-        m_customers[c].lift += least - m_customers[c].virtualService();
-        tell(c);
-        serviceMoved(c);
+        m_customers[c].lift += minService - m_customers[c].virtualService();
+        markChanged(c);
+        notifyServiceChanged(c);
     }
 }
 
-CustomerService LedgerCore::report(CustomerIndex c) const
+CustomerServiceEntry LedgerCore::makeEntry(CustomerIndex c) const
 {
     const Customer& customer = m_customers[c];
-    // Between two summaries a busy customer's window runs out and fills again many times. Were it told as it happens to
-    // be now, the other owners would take a customer for idle that has waited nearly all the time, and lift it.
-    return { customer.id, customer.own, customer.lift, customer.wasBacklogged };
+    // Between two summaries a busy customer's window of offers empties and refills many times. If only the current
+    // state were reported, other owners might take a customer that has been waiting nearly all the time for idle, and
+    // lift it.
+    return { customer.id, customer.own, customer.lift, customer.backloggedSinceReport };
 }
 
 PoolSummary LedgerCore::summarize(bool full)
 {
-    noteVirtualTime();
-    const std::vector<CustomerIndex> told = full ? allWorthTelling() : changedAndSomeInTurn();
+    updateVirtualTime();
+    const std::vector<CustomerIndex> reported = full ? reportableCustomers() : changedAndRefreshedCustomers();
     PoolSummary summary { m_pool, m_self, ++m_sequence, full, m_virtualTime };
-    for (const CustomerIndex c : told)
-        summary.customers.push_back(report(c));
-    // A full summary may go to a single router that asked for it; the changes remain news for the others.
+    for (const CustomerIndex c : reported)
+        summary.customers.push_back(makeEntry(c));
+    // A full summary may be sent to a single router that requested it; the other routers still need the changes.
     if (!full)
-        noteTold(told);
+        markReported(reported);
     return summary;
 }
 
-void LedgerCore::noteTold(const std::vector<CustomerIndex>& told)
+void LedgerCore::markReported(const std::vector<CustomerIndex>& reported)
 {
     for (const CustomerIndex c : m_changed)
         m_customers[c].changed = false;
     m_changed.clear();
-    for (const CustomerIndex c : told) {
+    for (const CustomerIndex c : reported) {
         Customer& customer = m_customers[c];
-        m_largestOwnStep = std::max(m_largestOwnStep, std::abs(customer.own - customer.told));
-        customer.told = customer.own;
-        if (!customer.wasBacklogged || customer.ownBacklogs)
+        m_largestOwnStep = std::max(m_largestOwnStep, std::abs(customer.own - customer.reportedService));
+        customer.reportedService = customer.own;
+        if (!customer.backloggedSinceReport || customer.ownBacklogs)
             continue;
-        customer.wasBacklogged = false;
-        tell(c);
+        customer.backloggedSinceReport = false;
+        markChanged(c);
     }
 }
 
-std::vector<CustomerIndex> LedgerCore::allWorthTelling() const
+std::vector<CustomerIndex> LedgerCore::reportableCustomers() const
 {
     std::vector<CustomerIndex> all;
     for (CustomerIndex c = 0; c < m_customers.size(); ++c) {
-        if (m_customers[c].worthTelling())
+        if (m_customers[c].isReportable())
             all.push_back(c);
     }
     return all;
 }
 
-std::vector<CustomerIndex> LedgerCore::changedAndSomeInTurn()
+std::vector<CustomerIndex> LedgerCore::changedAndRefreshedCustomers()
 {
-    std::vector<CustomerIndex> told = m_changed;
-    const std::size_t most = told.size() + kCustomersInTurn;
-    const std::size_t looks = std::min<std::size_t>(kCustomersLookedAt, m_customers.size());
-    for (std::size_t n = 0; n < looks && told.size() < most; ++n) {
-        const CustomerIndex c = m_nextInTurn;
-        m_nextInTurn = (m_nextInTurn + 1) % m_customers.size();
-        if (!m_customers[c].changed && m_customers[c].worthTelling())
-            told.push_back(c);
+    std::vector<CustomerIndex> reported = m_changed;
+    const std::size_t maxReported = reported.size() + kMaxRefreshedPerSummary;
+    const std::size_t scanLimit = std::min<std::size_t>(kMaxScannedPerSummary, m_customers.size());
+    for (std::size_t n = 0; n < scanLimit && reported.size() < maxReported; ++n) {
+        const CustomerIndex c = m_refreshCursor;
+        m_refreshCursor = (m_refreshCursor + 1) % m_customers.size();
+        if (!m_customers[c].changed && m_customers[c].isReportable())
+            reported.push_back(c);
     }
-    return told;
+    return reported;
 }
 
-std::vector<PoolSummary> LedgerCore::others() const
+std::vector<PoolSummary> LedgerCore::peerSummaries() const
 {
     std::vector<PoolSummary> all;
-    for (const auto& it : m_lives.known()) {
+    for (const auto& it : m_remote.snapshots()) {
         PoolSummary summary { m_pool, it.life, it.sequence, true, m_virtualTime };
         for (const auto& report : it.reports)
             summary.customers.push_back(
@@ -292,6 +294,6 @@
     return all;
 }
 
-void LedgerCore::retire(const RouterLife& life) { apply(m_lives.retire(life)); }
+void LedgerCore::retire(const RouterLife& life) { apply(m_remote.retire(life)); }
 
 } // namespace sagechute::scheduling
--- a/src/scheduling/LifeTable.cpp
+++ b/src/scheduling/LifeTable.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-    // A summary that was under way when its sender died arrives after the retirement. Taken as a sign of life, it would
-    // leave customers backlogged for ever (noticed as a customer that is never lifted again). A life that did return
-    // sends more.
-    constexpr std::uint32_t kSummariesOfALiveRouter = 3;
+    // Number of newer summaries that revive a retired incarnation. Summaries in transit when their sender died arrive
+    // after its retirement; reviving it on the first one would leave its customers backlogged forever, so that they
+    // would never be lifted again. An incarnation that is really alive keeps sending.
+    constexpr std::uint32_t kSummariesToRevive = 3;
 
 } // namespace
 
@@ -18,56 +18,56 @@
 {
 }
 
-std::vector<RegisterChange> LifeTable::absorb(
+std::vector<RegisterChange> LifeTable::mergeReports(
     const RouterLife& life, std::uint64_t sequence, bool full, const std::vector<ServiceReport>& reports)
 {
     std::vector<RegisterChange> changes;
-    Life& entry = lifeFor(life);
-    retireEarlierLives(life, changes);
-    if (!entry.retired && hasLaterLife(life))
+    RouterEntry& entry = findOrCreate(life);
+    retireOlderIncarnations(life, changes);
+    if (!entry.retired && hasNewerIncarnation(life))
         retire(life, entry, changes);
-    noteSequence(life, entry, sequence, changes);
+    advanceSequence(life, entry, sequence, changes);
     Cost step = 0;
     for (const auto& it : reports)
         step = std::max(step, merge(entry, sequence, it, changes));
     if (step > 0)
-        entry.usualStep.add(step);
+        entry.meanStep.add(step);
     if (step > entry.largestStep) {
-        m_unseen += step - entry.largestStep;
+        m_unreported += step - entry.largestStep;
         entry.largestStep = step;
     }
     if (full)
-        endOldBacklogs(entry, sequence, changes);
-    // Nothing is missing of a life that is known from its first summary on.
+        endStaleBacklogs(entry, sequence, changes);
+    // An incarnation that is known from its first summary on has no unknown charges.
     entry.complete = entry.complete || full || sequence == 1;
-    limitLives(changes);
+    enforceLimits(changes);
     return changes;
 }
 
-LifeTable::Life& LifeTable::lifeFor(const RouterLife& life)
+LifeTable::RouterEntry& LifeTable::findOrCreate(const RouterLife& life)
 {
-    const auto [it, isNew] = m_lives.try_emplace(life);
+    const auto [it, isNew] = m_incarnations.try_emplace(life);
     if (isNew)
-        it->second.returned = m_foldedNames.contains(life);
-    it->second.heard = ++m_heard;
+        it->second.wasFolded = m_foldedNames.contains(life);
+    it->second.lastUpdate = ++m_updateCount;
     return it->second;
 }
 
-void LifeTable::noteSequence(
-    const RouterLife& life, Life& entry, std::uint64_t sequence, std::vector<RegisterChange>& changes)
+void LifeTable::advanceSequence(
+    const RouterLife& life, RouterEntry& entry, std::uint64_t sequence, std::vector<RegisterChange>& changes)
 {
     if (sequence <= entry.sequence)
         return;
     entry.sequence = sequence;
     if (!entry.retired)
         return;
-    ++entry.newerSummaries;
-    if (entry.newerSummaries >= kSummariesOfALiveRouter && !hasLaterLife(life))
+    ++entry.summariesSinceRetired;
+    if (entry.summariesSinceRetired >= kSummariesToRevive && !hasNewerIncarnation(life))
         revive(life, entry, changes);
 }
 
 Cost LifeTable::merge(
-    Life& entry, std::uint64_t sequence, const ServiceReport& report, std::vector<RegisterChange>& changes)
+    RouterEntry& entry, std::uint64_t sequence, const ServiceReport& report, std::vector<RegisterChange>& changes)
 {
     if (report.customer >= entry.registers.size())
         entry.registers.resize(report.customer + 1);
@@ -76,8 +76,8 @@
         return 0;
     RegisterChange change { report.customer };
     change.history = !reg.known && !entry.complete;
-    if (!reg.known && entry.returned) {
-        base(report.customer) += 0; // the folded part refers to it
+    if (!reg.known && entry.wasFolded) {
+        base(report.customer) += 0; // grow the base: the folded part is subtracted from it later
         reg.folded = reg.service = report.service;
     }
     change.service = report.service - reg.service;
@@ -92,17 +92,17 @@
     return change.history ? 0 : std::abs(change.service);
 }
 
-Cost LifeTable::usualStep() const
+Cost LifeTable::meanStep() const
 {
     Cost sum = 0;
-    for (const auto& it : m_lives)
-        sum += it.second.usualStep.value();
+    for (const auto& it : m_incarnations)
+        sum += it.second.meanStep.value();
     return sum;
 }
 
-void LifeTable::endOldBacklogs(Life& entry, std::uint64_t sequence, std::vector<RegisterChange>& changes)
+void LifeTable::endStaleBacklogs(RouterEntry& entry, std::uint64_t sequence, std::vector<RegisterChange>& changes)
 {
-    // A full summary names every backlogged customer, so the summary that ended any other backlog was lost.
+    // A full summary lists every backlogged customer. Other backlogs have ended, but the summary that said so was lost.
     for (CustomerIndex c = 0; c < entry.registers.size(); ++c) {
         Register& reg = entry.registers[c];
         if (!reg.backlogged || reg.sequence >= sequence)
@@ -113,20 +113,20 @@
     }
 }
 
-void LifeTable::retireEarlierLives(const RouterLife& life, std::vector<RegisterChange>& changes)
+void LifeTable::retireOlderIncarnations(const RouterLife& life, std::vector<RegisterChange>& changes)
 {
-    for (auto it = m_lives.lower_bound({ life.vm, 0 }); it != m_lives.end() && it->first < life; ++it) {
+    for (auto it = m_incarnations.lower_bound({ life.vm, 0 }); it != m_incarnations.end() && it->first < life; ++it) {
         if (!it->second.retired)
             retire(it->first, it->second, changes);
     }
 }
 
-bool LifeTable::hasLaterLife(const RouterLife& life) const
+bool LifeTable::hasNewerIncarnation(const RouterLife& life) const
 {
     if (life.vm == m_self.vm && life < m_self)
         return true;
-    const auto it = m_lives.upper_bound(life);
-    return it != m_lives.end() && it->first.vm == life.vm;
+    const auto it = m_incarnations.upper_bound(life);
+    return it != m_incarnations.end() && it->first.vm == life.vm;
 }
 
 std::vector<RegisterChange> LifeTable::retire(const RouterLife& life)
@@ -134,16 +134,16 @@
     std::vector<RegisterChange> changes;
     if (life == m_self)
         return changes;
-    // Also a life that was never heard of: its summary may still be under way.
-    Life& entry = lifeFor(life);
+    // Retires unknown incarnations as well, since their summaries may still be in transit.
+    RouterEntry& entry = findOrCreate(life);
     if (entry.retired)
         return changes;
     retire(life, entry, changes);
-    limitLives(changes);
+    enforceLimits(changes);
     return changes;
 }
 
-void LifeTable::retire(const RouterLife& life, Life& entry, std::vector<RegisterChange>& changes)
+void LifeTable::retire(const RouterLife& life, RouterEntry& entry, std::vector<RegisterChange>& changes)
 {
     for (CustomerIndex c = 0; c < entry.registers.size(); ++c) {
         if (!entry.registers[c].backlogged)
@@ -152,57 +152,58 @@
         changes.push_back({ c, 0, -1 });
     }
     entry.retired = true;
-    entry.newerSummaries = 0;
-    m_retired.push_back(life);
+    entry.summariesSinceRetired = 0;
+    m_retiredOrder.push_back(life);
 }
 
-void LifeTable::revive(const RouterLife& life, Life& entry, std::vector<RegisterChange>& changes)
+void LifeTable::revive(const RouterLife& life, RouterEntry& entry, std::vector<RegisterChange>& changes)
 {
     entry.retired = false;
-    m_retired.erase(std::remove(m_retired.begin(), m_retired.end(), life), m_retired.end());
+    m_retiredOrder.erase(std::remove(m_retiredOrder.begin(), m_retiredOrder.end(), life), m_retiredOrder.end());
     for (CustomerIndex c = 0; c < entry.registers.size(); ++c) {
         if (entry.registers[c].backlogged)
             changes.push_back({ c, 0, 1 });
     }
 }
 
-void LifeTable::limitLives(std::vector<RegisterChange>& changes)
+void LifeTable::enforceLimits(std::vector<RegisterChange>& changes)
 {
-    while (m_retired.size() > kRetiredLivesKept) {
-        fold(m_lives.find(m_retired.front()));
-        m_retired.pop_front();
+    while (m_retiredOrder.size() > kMaxRetired) {
+        fold(m_incarnations.find(m_retiredOrder.front()));
+        m_retiredOrder.pop_front();
     }
-    // Lives that nobody ever retires here (their death was before this router's start) would fill the memory as well.
-    while (m_lives.size() > kLivesKept) {
-        auto oldest = m_lives.end();
-        for (auto it = m_lives.begin(); it != m_lives.end(); ++it) {
-            if (!it->second.retired && (oldest == m_lives.end() || it->second.heard < oldest->second.heard))
+    // Incarnations that died before this router started are never retired here; their number must be limited as well.
+    while (m_incarnations.size() > kMaxIncarnations) {
+        auto oldest = m_incarnations.end();
+        for (auto it = m_incarnations.begin(); it != m_incarnations.end(); ++it) {
+            if (!it->second.retired
+                && (oldest == m_incarnations.end() || it->second.lastUpdate < oldest->second.lastUpdate))
                 oldest = it;
         }
         retire(oldest->first, oldest->second, changes);
-        m_retired.pop_back();
+        m_retiredOrder.pop_back();
         fold(oldest);
     }
 }
 
-void LifeTable::fold(Lives::iterator life)
+void LifeTable::fold(RouterEntries::iterator life)
 {
     for (CustomerIndex c = 0; c < life->second.registers.size(); ++c) {
         const Register& reg = life->second.registers[c];
         if (reg.service != reg.folded)
             base(c) += reg.service - reg.folded;
     }
-    m_unseen = std::max<Cost>(0, m_unseen - life->second.largestStep);
-    rememberName(life->first);
-    m_lives.erase(life);
+    m_unreported = std::max<Cost>(0, m_unreported - life->second.largestStep);
+    rememberFolded(life->first);
+    m_incarnations.erase(life);
 }
 
-void LifeTable::rememberName(const RouterLife& life)
+void LifeTable::rememberFolded(const RouterLife& life)
 {
     if (!m_foldedNames.insert(life).second)
         return;
     m_foldedOrder.push_back(life);
-    if (m_foldedOrder.size() <= kNamesKept)
+    if (m_foldedOrder.size() <= kMaxFoldedNames)
         return;
     m_foldedNames.erase(m_foldedOrder.front());
     m_foldedOrder.pop_front();
@@ -215,10 +216,10 @@
     return m_base[c];
 }
 
-std::vector<RegisterChange> LifeTable::absorbBase(const std::vector<ServiceReport>& reports)
+std::vector<RegisterChange> LifeTable::mergeBase(const std::vector<ServiceReport>& reports)
 {
     std::vector<RegisterChange> changes;
-    // Two bases hold different but overlapping sets of lives, so they cannot be added.
+    // Bases of two routers cover different but overlapping sets of incarnations, so they cannot be added.
     if (!m_base.empty())
         return changes;
     for (const auto& it : reports) {
@@ -228,21 +229,20 @@
     return changes;
 }
 
-std::vector<LifeTable::Known> LifeTable::known() const
+std::vector<LifeTable::Snapshot> LifeTable::snapshots() const
 {
-    std::vector<Known> all;
+    std::vector<Snapshot> all;
     all.emplace_back();
-    // The reader hears of a returned life's whole register from that life itself, so the base must leave that part out
-    // for it.
+    // The receiver gets the whole register of a returned incarnation, so the folded part is subtracted from the base.
     std::vector<Cost> base = m_base;
-    std::vector<const Lives::value_type*> lives;
-    for (const auto& it : m_lives)
-        lives.push_back(&it);
-    std::sort(
-        lives.begin(), lives.end(), [](const auto* a, const auto* b) { return a->second.heard < b->second.heard; });
-    for (const auto* it : lives) {
-        const Life& entry = it->second;
-        Known one { it->first, entry.sequence, {} };
+    std::vector<const RouterEntries::value_type*> byLastUpdate;
+    for (const auto& it : m_incarnations)
+        byLastUpdate.push_back(&it);
+    std::sort(byLastUpdate.begin(), byLastUpdate.end(),
+        [](const auto* a, const auto* b) { return a->second.lastUpdate < b->second.lastUpdate; });
+    for (const auto* it : byLastUpdate) {
+        const RouterEntry& entry = it->second;
+        Snapshot one { it->first, entry.sequence, {} };
         for (CustomerIndex c = 0; c < entry.registers.size(); ++c) {
             const Register& reg = entry.registers[c];
             if (!reg.known)
--- a/src/scheduling/MovingMean.h
+++ b/src/scheduling/MovingMean.h
@@ -1,13 +1,14 @@
 #pragma once
 
 /// @file
-/// A mean that follows its samples.
+/// Exponentially weighted moving average.
 
 #include <cstdint>
 
 namespace sagechute::scheduling {
 
-/// Exponentially weighted mean whose first samples weigh alike.
+/// Exponentially weighted moving average. The first kWindow samples are weighted equally, so that the mean does not
+/// depend on an initial value.
 class MovingMean {
 public:
     void add(double sample)
--- a/src/scheduling/OfferPlacer.cpp
+++ b/src/scheduling/OfferPlacer.cpp
@@ -9,9 +9,10 @@
 
     constexpr Duration kDigestLifetime = std::chrono::seconds(3);
 
-    // An offer stays at least this long. Without it all routers would follow each digest to the same cell and back, and
-    // requests would spend their time on the way; the sign is a move rate near the digest rate.
-    constexpr Duration kShortestStay = std::chrono::milliseconds(50);
+    // Minimum time between two moves of an offer. Without it all routers would move their offers to the same cell after
+    // each digest and back after the next, and requests would spend their time in transit. The symptom is a rate of
+    // moves close to the rate of digests.
+    constexpr Duration kMinDwellTime = std::chrono::milliseconds(50);
 
     class DigestPlacer final : public OfferPlacer {
     public:
@@ -21,34 +22,34 @@
         }
 
         void setCells(std::uint32_t count, const std::vector<std::uint32_t>& ownedHere) override;
-        void learn(TimePoint now, const CellDigest&) override;
+        void updateDigest(TimePoint now, const CellDigest&) override;
         CellId place(TimePoint now, const CustomerId&, Cost virtualService) override;
-        void left(const CustomerId&, const CellId&) override;
-        void moved(const CustomerId&, const CellId& from, const CellId& to) override;
-        std::optional<CellId> better(
+        void offerRemoved(const CustomerId&, const CellId&) override;
+        void offerMoved(const CustomerId&, const CellId& from, const CellId& to) override;
+        std::optional<CellId> findBetterCell(
             TimePoint now, const CellId& offered, TimePoint since, Cost virtualService) override;
 
     private:
         struct Cell {
             CellDigest digest;
-            std::optional<TimePoint> learnedAt;
+            std::optional<TimePoint> updatedAt;
             bool owned = false;
         };
 
-        using Offers = std::vector<std::uint32_t>; ///< Number waiting, by cell.
+        using Offers = std::vector<std::uint32_t>; ///< Number of waiting offers, by cell.
 
-        bool isKnown(TimePoint now, std::uint32_t index) const;
+        bool hasFreshDigest(TimePoint now, std::uint32_t index) const;
         bool hasFreeSlot(TimePoint now, std::uint32_t index) const;
         Cost headService(std::uint32_t index) const;
-        std::optional<std::uint32_t> ownFree(TimePoint now) const;
-        std::optional<std::uint32_t> otherFree(TimePoint now, std::uint64_t hash) const;
-        std::optional<std::uint32_t> furthestAhead(TimePoint now) const;
+        std::optional<std::uint32_t> ownedFreeCell(TimePoint now) const;
+        std::optional<std::uint32_t> anyFreeCell(TimePoint now, std::uint64_t hash) const;
+        std::optional<std::uint32_t> highestHeadService(TimePoint now) const;
         std::optional<std::uint32_t> fewestOffers(
             TimePoint now, std::uint64_t hash, Cost virtualService, const Offers&) const;
-        std::uint32_t home(TimePoint now, std::uint64_t hash) const;
+        std::uint32_t fallbackCell(TimePoint now, std::uint64_t hash) const;
         std::uint32_t choose(TimePoint now, std::uint64_t hash, Cost virtualService, const Offers&) const;
         Offers& offersOf(const CustomerId&);
-        void expect(std::uint32_t index, Cost virtualService);
+        void accountForOffer(std::uint32_t index, Cost virtualService);
 
         PoolId m_pool;
         std::vector<Cell> m_cells;
@@ -59,7 +60,7 @@
     void DigestPlacer::setCells(std::uint32_t count, const std::vector<std::uint32_t>& ownedHere)
     {
         if (m_cells.size() != count)
-            m_offers.clear(); // the same index is another cell now
+            m_offers.clear(); // the indices refer to different cells now
         m_cells.resize(std::max<std::uint32_t>(1, count));
         m_owned.clear();
         for (auto& it : m_cells)
@@ -72,31 +73,31 @@
         }
     }
 
-    void DigestPlacer::learn(TimePoint now, const CellDigest& digest)
+    void DigestPlacer::updateDigest(TimePoint now, const CellDigest& digest)
     {
         if (digest.index < m_cells.size())
             m_cells[digest.index] = { digest, now, m_cells[digest.index].owned };
     }
 
-    bool DigestPlacer::isKnown(TimePoint now, std::uint32_t index) const
+    bool DigestPlacer::hasFreshDigest(TimePoint now, std::uint32_t index) const
     {
-        const auto& learnedAt = m_cells[index].learnedAt;
-        return learnedAt && now - *learnedAt < kDigestLifetime;
+        const auto& updatedAt = m_cells[index].updatedAt;
+        return updatedAt && now - *updatedAt < kDigestLifetime;
     }
 
     bool DigestPlacer::hasFreeSlot(TimePoint now, std::uint32_t index) const
     {
-        return isKnown(now, index) && m_cells[index].digest.freeSlots > 0;
+        return hasFreshDigest(now, index) && m_cells[index].digest.freeSlots > 0;
     }
 
     Cost DigestPlacer::headService(std::uint32_t index) const
     {
-        // Where nobody waits, the next slot goes to whoever comes.
+        // With an empty queue, the next free slot goes to any new offer.
         const CellDigest& digest = m_cells[index].digest;
         return digest.waiting ? digest.headService : std::numeric_limits<Cost>::infinity();
     }
 
-    std::optional<std::uint32_t> DigestPlacer::ownFree(TimePoint now) const
+    std::optional<std::uint32_t> DigestPlacer::ownedFreeCell(TimePoint now) const
     {
         std::optional<std::uint32_t> best;
         for (const std::uint32_t it : m_owned) {
@@ -106,9 +107,9 @@
         return best;
     }
 
-    std::optional<std::uint32_t> DigestPlacer::otherFree(TimePoint now, std::uint64_t hash) const
+    std::optional<std::uint32_t> DigestPlacer::anyFreeCell(TimePoint now, std::uint64_t hash) const
     {
-        // From the customer's own starting point, so that not every router fills the same cell first.
+        // Starts at a position derived from the customer, so that routers do not all fill the same cell first.
         for (std::uint32_t n = 0; n < m_cells.size(); ++n) {
             const std::uint32_t index = (hash + n) % m_cells.size();
             if (hasFreeSlot(now, index))
@@ -117,23 +118,23 @@
         return std::nullopt;
     }
 
-    std::optional<std::uint32_t> DigestPlacer::furthestAhead(TimePoint now) const
+    std::optional<std::uint32_t> DigestPlacer::highestHeadService(TimePoint now) const
     {
         std::optional<std::uint32_t> best;
         for (std::uint32_t index = 0; index < m_cells.size(); ++index) {
-            if (isKnown(now, index) && (!best || headService(index) > headService(*best)))
+            if (hasFreshDigest(now, index) && (!best || headService(index) > headService(*best)))
                 best = index;
         }
         return best;
     }
 
-    std::uint32_t DigestPlacer::home(TimePoint now, std::uint64_t hash) const
+    std::uint32_t DigestPlacer::fallbackCell(TimePoint now, std::uint64_t hash) const
     {
         if (!m_owned.empty())
             return m_owned[hash % m_owned.size()];
         for (std::uint32_t n = 0; n < m_cells.size(); ++n) {
             const std::uint32_t index = (hash + n) % m_cells.size();
-            if (isKnown(now, index))
+            if (hasFreshDigest(now, index))
                 return index;
         }
         return hash % m_cells.size();
@@ -142,19 +143,20 @@
     std::optional<std::uint32_t> DigestPlacer::fewestOffers(
         TimePoint now, std::uint64_t hash, Cost virtualService, const Offers& offers) const
     {
-        // While work waits everywhere, each customer must wait in every cell. With all its offers in one cell it gets
-        // that cell's share at most, and its gap to a customer alone in another cell grows without end.
+        // While requests wait in all cells, each customer must wait in every cell. A customer with all its offers in
+        // one cell gets a share of that cell at most, and its gap to a customer alone in another cell grows without
+        // bound.
         struct Rank {
             std::uint32_t offers = 0;
-            bool behind = false; ///< Another customer would be served first there.
-            bool foreign = false;
+            bool isBehind = false; ///< Another customer would be served first in that cell.
+            bool isRemote = false;
             auto operator<=>(const Rank&) const = default;
         };
         std::optional<std::uint32_t> best;
         Rank bestRank;
         for (std::uint32_t n = 0; n < m_cells.size(); ++n) {
             const std::uint32_t index = (hash + n) % m_cells.size();
-            if (!isKnown(now, index))
+            if (!hasFreshDigest(now, index))
                 continue;
             const Rank rank { offers[index], virtualService > headService(index), !m_cells[index].owned };
             if (best && bestRank <= rank)
@@ -168,18 +170,19 @@
     std::uint32_t DigestPlacer::choose(
         TimePoint now, std::uint64_t hash, Cost virtualService, const Offers& offers) const
     {
-        if (const auto index = ownFree(now))
+        if (const auto index = ownedFreeCell(now))
             return *index;
-        if (const auto index = otherFree(now, hash))
+        if (const auto index = anyFreeCell(now, hash))
             return *index;
         if (const auto index = fewestOffers(now, hash, virtualService, offers))
             return *index;
-        return home(now, hash);
+        return fallbackCell(now, hash);
     }
 
-    void DigestPlacer::expect(std::uint32_t index, Cost virtualService)
+    void DigestPlacer::accountForOffer(std::uint32_t index, Cost virtualService)
     {
-        // Until the next digest this router reckons with its own offers; else a burst would all follow one free slot.
+        // Accounts for this router's own offers until the next digest; otherwise a whole burst would go to one free
+        // slot.
         CellDigest& digest = m_cells[index].digest;
         if (digest.freeSlots) {
             --digest.freeSlots;
@@ -202,47 +205,47 @@
             return { m_pool, 0 };
         Offers& offers = offersOf(customer);
         const std::uint32_t index = choose(now, stableHash(customer.value), virtualService, offers);
-        expect(index, virtualService);
+        accountForOffer(index, virtualService);
         ++offers[index];
         return { m_pool, index };
     }
 
-    void DigestPlacer::left(const CustomerId& customer, const CellId& cell)
+    void DigestPlacer::offerRemoved(const CustomerId& customer, const CellId& cell)
     {
         const auto it = m_offers.find(customer);
         if (it == m_offers.end() || cell.index >= it->second.size() || !it->second[cell.index])
             return;
         --it->second[cell.index];
-        const auto isNone = [](std::uint32_t n) { return !n; };
-        if (std::all_of(it->second.begin(), it->second.end(), isNone))
+        const auto isZero = [](std::uint32_t n) { return !n; };
+        if (std::all_of(it->second.begin(), it->second.end(), isZero))
             m_offers.erase(it);
     }
 
-    void DigestPlacer::moved(const CustomerId& customer, const CellId& from, const CellId& to)
+    void DigestPlacer::offerMoved(const CustomerId& customer, const CellId& from, const CellId& to)
     {
-        left(customer, from);
+        offerRemoved(customer, from);
         if (to.index < m_cells.size())
             ++offersOf(customer)[to.index];
     }
 
-    std::optional<CellId> DigestPlacer::better(
+    std::optional<CellId> DigestPlacer::findBetterCell(
         TimePoint now, const CellId& offered, TimePoint since, Cost virtualService)
     {
-        if (now - since < kShortestStay || offered.index >= m_cells.size())
+        if (now - since < kMinDwellTime || offered.index >= m_cells.size())
             return std::nullopt;
         if (hasFreeSlot(now, offered.index))
             return std::nullopt;
-        if (const auto free = otherFree(now, offered.index + 1)) {
-            expect(*free, virtualService);
+        if (const auto free = anyFreeCell(now, offered.index + 1)) {
+            accountForOffer(*free, virtualService);
             return CellId { m_pool, *free };
         }
-        if (!isKnown(now, offered.index) || virtualService <= headService(offered.index))
+        if (!hasFreshDigest(now, offered.index) || virtualService <= headService(offered.index))
             return std::nullopt;
-        const auto ahead = furthestAhead(now);
-        if (!ahead || *ahead == offered.index || virtualService >= headService(*ahead))
+        const auto destination = highestHeadService(now);
+        if (!destination || *destination == offered.index || virtualService >= headService(*destination))
             return std::nullopt;
-        expect(*ahead, virtualService);
-        return CellId { m_pool, *ahead };
+        accountForOffer(*destination, virtualService);
+        return CellId { m_pool, *destination };
     }
 
 } // namespace
--- a/src/scheduling/PrefixIndex.cpp
+++ b/src/scheduling/PrefixIndex.cpp
@@ -6,7 +6,7 @@
 
 void PrefixIndex::setTargetCount(std::size_t count)
 {
-    m_mostPerTarget = std::max(kLeastPerTarget, kPrefixesKept / std::max<std::size_t>(1, count));
+    m_maxPerTarget = std::max(kMinPerTarget, kMaxPrefixes / std::max<std::size_t>(1, count));
     for (TargetIndex t = 0; t < m_contents.size(); ++t)
         trim(t);
 }
@@ -26,19 +26,19 @@
 void PrefixIndex::evict(TargetIndex t, std::uint64_t prefix)
 {
     if (t < m_contents.size() && m_contents[t].storedAt.erase(prefix))
-        dropHolder(prefix, t);
+        removeHolder(prefix, t);
 }
 
-void PrefixIndex::forget(TargetIndex t)
+void PrefixIndex::clearTarget(TargetIndex t)
 {
     if (t >= m_contents.size())
         return;
     for (const auto& it : m_contents[t].storedAt)
-        dropHolder(it.first, t);
+        removeHolder(it.first, t);
     m_contents[t] = Contents {};
 }
 
-void PrefixIndex::dropHolder(std::uint64_t prefix, TargetIndex t)
+void PrefixIndex::removeHolder(std::uint64_t prefix, TargetIndex t)
 {
     const auto it = m_holders.find(prefix);
     std::erase(it->second, t);
@@ -49,13 +49,13 @@
 void PrefixIndex::trim(TargetIndex t)
 {
     Contents& contents = m_contents[t];
-    // The order is bounded too: storing one prefix over and over must not fill the memory.
-    while (contents.storedAt.size() > m_mostPerTarget || contents.order.size() > 2 * m_mostPerTarget) {
+    // The order list needs its own bound: it grows whenever the same prefix is stored again.
+    while (contents.storedAt.size() > m_maxPerTarget || contents.order.size() > 2 * m_maxPerTarget) {
         const std::uint64_t prefix = contents.order.front();
         const auto it = contents.storedAt.find(prefix);
         if (it != contents.storedAt.end() && it->second == contents.firstSerial) {
             contents.storedAt.erase(it);
-            dropHolder(prefix, t);
+            removeHolder(prefix, t);
         }
         contents.order.pop_front();
         ++contents.firstSerial;
--- a/src/scheduling/PrefixIndex.h
+++ b/src/scheduling/PrefixIndex.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Which target likely has which prompt prefix cached.
+/// Index of the prompt prefixes that each target is believed to have cached.
 
 #include "scheduling/TargetTable.h"
 
@@ -9,59 +9,59 @@
 
 namespace sagechute::scheduling {
 
-/// Cache contents of a cell's targets, as far as their events tell. Bounded: events of evictions can be lost, so a
-/// target's oldest entries are forgotten beyond a share of kPrefixesKept.
+/// Cache contents of a cell's targets, as reported by their cache events. Eviction events can be lost, so the index is
+/// bounded: each target has an equal share of kMaxPrefixes, beyond which its oldest entries are removed.
 class PrefixIndex {
 public:
-    static constexpr std::size_t kPrefixesKept = 1 << 16;
-    static constexpr std::size_t kLeastPerTarget = 64;
+    static constexpr std::size_t kMaxPrefixes = 1 << 16;
+    static constexpr std::size_t kMinPerTarget = 64;
 
     void store(TargetIndex, std::uint64_t prefix);
     void evict(TargetIndex, std::uint64_t prefix);
-    void forget(TargetIndex);
+    void clearTarget(TargetIndex);
     void setTargetCount(std::size_t);
 
     bool empty() const { return m_holders.empty(); }
 
     /// @param prefixes shortest first.
-    /// @param usable says whether a target may be chosen.
-    /// @return the least loaded usable target with the longest known prefix, or kNoTarget.
-    template <typename Usable>
-    TargetIndex best(const std::vector<std::uint64_t>& prefixes, const TargetTable&, const Usable& usable) const;
+    /// @param isUsable predicate on TargetIndex: whether the target may be chosen.
+    /// @return the least loaded usable target among those that hold the longest prefix possible, or kNoTarget.
+    template <typename IsUsable>
+    TargetIndex best(const std::vector<std::uint64_t>& prefixes, const TargetTable&, const IsUsable& isUsable) const;
 
 private:
-    // A prefix that more targets hold than this (a common preamble) says little about where to go.
-    static constexpr std::size_t kHoldersLookedAt = 32;
+    // A prefix held by more targets than this, such as a common preamble, hardly narrows the choice.
+    static constexpr std::size_t kMaxHoldersScanned = 32;
 
     struct Contents {
-        absl::flat_hash_map<std::uint64_t, std::uint64_t> storedAt; ///< Serial number by prefix.
-        std::deque<std::uint64_t>
-            order; ///< Prefixes from the oldest on; may hold some that are gone or were stored again.
-        std::uint64_t firstSerial = 0; ///< Of the front of order.
+        absl::flat_hash_map<std::uint64_t, std::uint64_t> storedAt; ///< Serial number of the latest store, by prefix.
+        /// Prefixes, oldest first. May hold stale entries: prefixes that were evicted or stored again since.
+        std::deque<std::uint64_t> order;
+        std::uint64_t firstSerial = 0; ///< Serial number of order.front().
     };
 
-    void dropHolder(std::uint64_t prefix, TargetIndex);
+    void removeHolder(std::uint64_t prefix, TargetIndex);
     void trim(TargetIndex);
 
     absl::flat_hash_map<std::uint64_t, std::vector<TargetIndex>> m_holders;
     std::vector<Contents> m_contents;
-    std::size_t m_mostPerTarget = kPrefixesKept;
+    std::size_t m_maxPerTarget = kMaxPrefixes;
 };
 
-template <typename Usable>
+template <typename IsUsable>
 TargetIndex PrefixIndex::best(
-    const std::vector<std::uint64_t>& prefixes, const TargetTable& targets, const Usable& usable) const
+    const std::vector<std::uint64_t>& prefixes, const TargetTable& targets, const IsUsable& isUsable) const
 {
     for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
         const auto holders = m_holders.find(*prefix);
         if (holders == m_holders.end())
             continue;
         TargetIndex best = kNoTarget;
-        std::size_t looks = 0;
+        std::size_t scanned = 0;
         for (const TargetIndex t : holders->second) {
-            if (++looks > kHoldersLookedAt)
+            if (++scanned > kMaxHoldersScanned)
                 break;
-            if (targets.isFree(t) && usable(t) && (best == kNoTarget || targets.load(t) < targets.load(best)))
+            if (targets.isFree(t) && isUsable(t) && (best == kNoTarget || targets.load(t) < targets.load(best)))
                 best = t;
         }
         if (best != kNoTarget)
--- a/src/scheduling/TargetTable.cpp
+++ b/src/scheduling/TargetTable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    // A damaged setting of billions of slots would overflow the sums.
-    constexpr std::uint32_t kMostSlots = 1 << 20;
+    // Corrupt configuration with billions of slots would overflow the sums.
+    constexpr std::uint32_t kMaxSlots = 1 << 20;
 
 } // namespace
 
@@ -15,31 +15,31 @@
 
 TargetTable::Update TargetTable::setTargets(const std::vector<CellTarget>& targets)
 {
-    std::vector<bool> stays(m_targets.size(), false);
+    std::vector<bool> isKept(m_targets.size(), false);
     m_slots = 0;
     for (const auto& it : targets) {
         const TargetIndex t = add(it.id);
-        if (t >= stays.size())
-            stays.resize(t + 1);
-        stays[t] = true;
+        if (t >= isKept.size())
+            isKept.resize(t + 1);
+        isKept[t] = true;
         Target& target = m_targets[t];
-        target.slots = std::min(it.slots, kMostSlots);
+        target.slots = std::min(it.slots, kMaxSlots);
         target.accepting = it.accepting;
         target.present = true;
-        reindex(t);
+        updateFreeIndex(t);
     }
     Update update;
     for (TargetIndex t = 0; t < m_targets.size(); ++t) {
         if (!m_targets[t].present)
             continue;
-        if (stays[t]) {
+        if (isKept[t]) {
             m_slots += m_targets[t].slots;
             continue;
         }
         m_targets[t].present = false;
-        reindex(t);
+        updateFreeIndex(t);
         update.removed.push_back(t);
-        forgetIfUnused(t);
+        removeIfUnused(t);
     }
     return update;
 }
@@ -50,11 +50,11 @@
     if (it != m_index.end())
         return it->second;
     TargetIndex t = TargetIndex(m_targets.size());
-    if (m_unused.empty()) {
+    if (m_unusedIndices.empty()) {
         m_targets.emplace_back();
     } else {
-        t = m_unused.back();
-        m_unused.pop_back();
+        t = m_unusedIndices.back();
+        m_unusedIndices.pop_back();
     }
     m_targets[t] = Target { id, targetHash(id) };
     m_index.emplace(id, t);
@@ -75,7 +75,7 @@
     if (t == kNoTarget)
         return;
     m_targets[t].accepting = accepting;
-    reindex(t);
+    updateFreeIndex(t);
 }
 
 void TargetTable::acquire(TargetIndex t)
@@ -83,7 +83,7 @@
     if (t == kNoTarget)
         return;
     ++m_targets[t].used;
-    reindex(t);
+    updateFreeIndex(t);
 }
 
 void TargetTable::release(TargetIndex t)
@@ -91,17 +91,17 @@
     if (t == kNoTarget)
         return;
     --m_targets[t].used;
-    reindex(t);
-    forgetIfUnused(t);
+    updateFreeIndex(t);
+    removeIfUnused(t);
 }
 
-void TargetTable::reindex(TargetIndex t)
+void TargetTable::updateFreeIndex(TargetIndex t)
 {
     Target& target = m_targets[t];
     const bool usable = target.present && target.accepting && target.used < target.slots;
-    m_freeSlots -= target.counted;
-    target.counted = usable ? target.slots - target.used : 0;
-    m_freeSlots += target.counted;
+    m_freeSlots -= target.countedFreeSlots;
+    target.countedFreeSlots = usable ? target.slots - target.used : 0;
+    m_freeSlots += target.countedFreeSlots;
     const double load = usable ? double(target.used) / target.slots : -1;
     if (load == target.load)
         return;
@@ -117,14 +117,14 @@
     target.load = load;
 }
 
-void TargetTable::forgetIfUnused(TargetIndex t)
+void TargetTable::removeIfUnused(TargetIndex t)
 {
     Target& target = m_targets[t];
     if (target.present || target.used)
         return;
     m_index.erase(target.id);
     target = Target {};
-    m_unused.push_back(t);
+    m_unusedIndices.push_back(t);
 }
 
 } // namespace sagechute::scheduling
--- a/src/scheduling/TargetTable.h
+++ b/src/scheduling/TargetTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The targets of one cell and their free slots.
+/// Table of the targets of one cell and their free slots.
 
 #include <sagechute/Scheduling.h>
 
@@ -11,43 +11,43 @@
 
 namespace sagechute::scheduling {
 
-/// Position of a target in its cell; reused once the target is gone and nothing runs on it any more.
+/// Index of a target in its cell. Reused once the target has been removed and nothing runs on it.
 using TargetIndex = std::uint32_t;
 inline constexpr TargetIndex kNoTarget = std::numeric_limits<TargetIndex>::max();
 
-/// Hash of a target's name, which means the same before the target joins and after it leaves.
+/// Hash of a target's name. Unlike a TargetIndex it stays valid before the target joins and after it leaves.
 using TargetHash = std::uint64_t;
 TargetHash targetHash(const TargetId&);
 
-/// Targets, what they run, and an index of those with a free slot in order of load.
+/// Targets with their slots in use, and an index of those with a free slot, ordered by load.
 class TargetTable {
 public:
     struct Update {
-        std::vector<TargetIndex> removed; ///< Nothing is known of these any more.
+        std::vector<TargetIndex> removed; ///< Targets that are no longer in the cell.
     };
 
     Update setTargets(const std::vector<CellTarget>&);
     void setAccepting(const TargetId&, bool accepting);
 
-    /// @return its position, or kNoTarget when it is not in the cell.
+    /// @return the target's index, or kNoTarget when it is not in the cell.
     TargetIndex find(const TargetId&) const;
     const TargetId& id(TargetIndex t) const { return m_targets[t].id; }
     TargetHash hash(TargetIndex t) const { return m_targets[t].hash; }
 
-    /// Occupies a slot, also when none is free: what runs, runs. @param t kNoTarget does nothing.
+    /// Occupies a slot even if none is free, since the request already runs. @param t ignored if kNoTarget.
     void acquire(TargetIndex t);
     void release(TargetIndex t);
 
     bool isFree(TargetIndex t) const { return m_targets[t].load >= 0; }
     double load(TargetIndex t) const { return m_targets[t].load; }
 
-    /// A target with a free slot; sorts by load, then position.
-    struct Free {
+    /// A target with a free slot, ordered by load, then index.
+    struct FreeTarget {
         double load = 0;
         TargetIndex target = 0;
-        auto operator<=>(const Free&) const = default;
+        auto operator<=>(const FreeTarget&) const = default;
     };
-    const std::set<Free>& free() const { return m_free; }
+    const std::set<FreeTarget>& freeTargets() const { return m_free; }
 
     std::uint32_t slots() const { return m_slots; }
     std::uint32_t freeSlots() const { return m_freeSlots; }
@@ -59,20 +59,20 @@
         TargetHash hash = 0;
         std::uint32_t slots = 0;
         std::uint32_t used = 0;
-        std::uint32_t counted = 0; ///< Its part of m_freeSlots.
+        std::uint32_t countedFreeSlots = 0; ///< This target's contribution to m_freeSlots.
         bool accepting = false;
         bool present = false;
-        double load = -1; ///< Its key in m_free, or -1 when not in there.
+        double load = -1; ///< Key in m_free, or -1 when not in the index.
     };
 
     TargetIndex add(const TargetId&);
-    void reindex(TargetIndex);
-    void forgetIfUnused(TargetIndex);
+    void updateFreeIndex(TargetIndex);
+    void removeIfUnused(TargetIndex);
 
     std::vector<Target> m_targets;
-    std::vector<TargetIndex> m_unused;
+    std::vector<TargetIndex> m_unusedIndices;
     absl::flat_hash_map<TargetId, TargetIndex, std::hash<TargetId>> m_index;
-    std::set<Free> m_free;
+    std::set<FreeTarget> m_free;
     std::uint32_t m_slots = 0;
     std::uint32_t m_freeSlots = 0;
 };
--- a/src/scheduling/WaitingQueues.cpp
+++ b/src/scheduling/WaitingQueues.cpp
@@ -29,7 +29,7 @@
     return customer.restricted.back();
 }
 
-void WaitingQueues::setPlace(const Queue& queue, CustomerIndex c)
+void WaitingQueues::updateKey(const Queue& queue, CustomerIndex c)
 {
     const Cost service = m_byArrival ? 0 : m_ledger.virtualService(c);
     queue.group->order.set(c, { service, m_requests[queue.requests.first].arrival });
@@ -43,7 +43,7 @@
     Queue& queue = queueOf(m_requests[r]);
     queue.requests.insertByArrival(m_requests, r);
     if (queue.requests.first == r)
-        setPlace(queue, c);
+        updateKey(queue, c);
     ++m_customers[c].waiting;
     ++m_waiting;
 }
@@ -57,12 +57,12 @@
     --m_customers[c].waiting;
     --m_waiting;
     if (queue.requests.empty())
-        drop(c, queue);
+        removeQueue(c, queue);
     else if (wasFirst)
-        setPlace(queue, c);
+        updateKey(queue, c);
 }
 
-void WaitingQueues::drop(CustomerIndex c, Queue& queue)
+void WaitingQueues::removeQueue(CustomerIndex c, Queue& queue)
 {
     Group& group = *queue.group;
     group.order.erase(c);
@@ -81,9 +81,9 @@
         return;
     const Customer& customer = m_customers[c];
     if (!customer.unrestricted.requests.empty())
-        setPlace(customer.unrestricted, c);
+        updateKey(customer.unrestricted, c);
     for (const auto& it : customer.restricted)
-        setPlace(it, c);
+        updateKey(it, c);
 }
 
 RequestIndex WaitingQueues::head(const Group& group, CustomerIndex c) const
--- a/src/scheduling/WaitingQueues.h
+++ b/src/scheduling/WaitingQueues.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The waiting requests of a cell, by customer and in the order of service.
+/// Queues of a cell's waiting requests, per customer and in order of service.
 
 #include "scheduling/CellRequests.h"
 #include "scheduling/IndexedHeap.h"
@@ -11,44 +11,44 @@
 
 namespace sagechute::scheduling {
 
-/// Waiting requests, grouped by the set of targets that they avoid: requests with the same set are alike in what free
-/// slot they can take, so the next one is found by looking at one head per set, not at one per customer. Nearly all
-/// avoid nothing.
+/// Waiting requests, grouped by the set of targets that they avoid. All requests of a group can take the same slots, so
+/// finding the next request to serve takes one look per group instead of one per customer. Nearly all requests avoid no
+/// target.
 class WaitingQueues {
 public:
-    /// A customer's place in the order of service.
-    struct Place {
-        Cost service = 0; ///< Virtual service, or 0 for service in order of arrival.
-        std::uint64_t arrival = 0; ///< Of its oldest request in the group.
-        auto operator<=>(const Place&) const = default;
+    /// Sort key of a customer in the order of service.
+    struct ServiceKey {
+        Cost service = 0; ///< Virtual service; 0 when serving in order of arrival.
+        std::uint64_t arrival = 0; ///< Arrival of the customer's oldest request in the group.
+        auto operator<=>(const ServiceKey&) const = default;
     };
 
-    /// The waiting requests with the same set of targets to avoid.
+    /// Waiting requests that avoid the same set of targets.
     struct Group {
         std::vector<TargetHash> avoid; ///< Sorted.
-        IndexedHeap<Place> order; ///< By customer.
+        IndexedHeap<ServiceKey> order; ///< By customer.
     };
 
-    /// @param byArrival ignore the ledger and serve in order of arrival.
+    /// @param byArrival whether to ignore the ledger and serve in order of arrival.
     WaitingQueues(CellRequests&, const LedgerCore&, bool byArrival);
 
     void add(RequestIndex);
     void remove(RequestIndex);
 
-    /// Puts a customer in its new place after a change of its virtual service.
+    /// Updates a customer's sort keys after a change of its virtual service.
     void reorder(CustomerIndex);
 
-    /// @return how many requests of the customer wait.
+    /// @return the number of the customer's waiting requests.
     std::uint32_t waitingOf(CustomerIndex c) const { return c < m_customers.size() ? m_customers[c].waiting : 0; }
     std::uint32_t waiting() const { return m_waiting; }
 
     /// The requests that avoid no target.
     const Group& unrestricted() const { return m_unrestricted; }
 
-    /// All other groups with requests, by the set that they avoid.
+    /// All other non-empty groups, by the set of targets that they avoid.
     const std::map<std::vector<TargetHash>, Group>& restricted() const { return m_restricted; }
 
-    /// @return the oldest request of a customer in a group. @param group one where it has a place.
+    /// @return the oldest request of a customer in a group. @param group must hold requests of the customer.
     RequestIndex head(const Group& group, CustomerIndex) const;
 
 private:
@@ -64,8 +64,8 @@
     };
 
     Queue& queueOf(const Request&);
-    void setPlace(const Queue&, CustomerIndex);
-    void drop(CustomerIndex, Queue&);
+    void updateKey(const Queue&, CustomerIndex);
+    void removeQueue(CustomerIndex, Queue&);
 
     CellRequests& m_requests;
     const LedgerCore& m_ledger;
--- a/src/wire/Wire.cpp
+++ b/src/wire/Wire.cpp
@@ -242,7 +242,7 @@
     {
         const scheduling::PoolSummary& s = m.summary;
         json customers = json::array();
-        for (const scheduling::CustomerService& it : s.customers)
+        for (const scheduling::CustomerServiceEntry& it : s.customers)
             customers.push_back(json::array(
                 { it.customer.value, costToJson(it.service), costToJson(it.lift), it.backlogged ? 1U : 0U }));
         json cells = json::array();
@@ -262,8 +262,8 @@
         s.sequence = in.number<std::uint64_t>();
         s.full = in.boolean();
         s.virtualTime = in.cost();
-        s.customers = in.list<scheduling::CustomerService>([](Reader& reader) {
-            scheduling::CustomerService service;
+        s.customers = in.list<scheduling::CustomerServiceEntry>([](Reader& reader) {
+            scheduling::CustomerServiceEntry service;
             service.customer.value = reader.text();
             service.service = reader.cost();
             service.lift = reader.cost();
--- a/tests/CellMapTest.cpp
+++ b/tests/CellMapTest.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("Few cells move when a router leaves, and no router owns many", "[scheduling]")
+TEST_CASE("Few cells move when a router leaves, and no router exceeds the cap", "[scheduling]")
 {
     const Size size
         = GENERATE(Size { 8, 2 }, Size { 8, 16 }, Size { 8, 66 }, Size { 64, 66 }, Size { 370, 66 }, Size { 370, 370 });
@@ -50,7 +50,7 @@
     REQUIRE(moved <= 2 * owned);
 }
 
-TEST_CASE("The map depends on the set of routers only, and the next in line stand in another zone", "[scheduling]")
+TEST_CASE("The map depends on the set of routers only, and a successor is in another zone", "[scheduling]")
 {
     auto all = routers(8);
     const CellMap map = CellMap::build(all, { { kPool, 12 } });
@@ -72,7 +72,7 @@
     REQUIRE(CellMap::build({}, { { kPool, 1 } }).owners({ kPool, 0 }).empty());
 }
 
-TEST_CASE("Targets are divided evenly and few move when one joins", "[scheduling]")
+TEST_CASE("Targets are divided evenly, and few move when one joins", "[scheduling]")
 {
     std::vector<TargetId> targets;
     targets.reserve(661);
--- a/tests/CellSchedulerTest.cpp
+++ b/tests/CellSchedulerTest.cpp
@@ -36,7 +36,7 @@
         return offer.request;
     }
 
-    /// @return the serial numbers granted.
+    /// Calls schedule(). @return the serial numbers of the granted requests.
     std::vector<std::uint64_t> granted()
     {
         std::vector<std::uint64_t> serials;
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("An unused grant ends and its request keeps its place", "[scheduling]")
+TEST_CASE("An unused grant expires and its request keeps its place in the queue", "[scheduling]")
 {
     Cell cell;
     for (std::uint64_t n = 1; n <= 3; ++n)
@@ -67,11 +67,11 @@
     REQUIRE(cell.granted() == Serials { 1 });
     REQUIRE(cell.scheduler->stats().expired == 1);
 
-    SECTION("the word of its use comes late")
+    SECTION("started() arrives after the grant has expired")
     {
-        // Symptom: a target with one slot gets two requests.
-        // Sequence: granted; used just in time; the grant expires at the owner; only then the router's word arrives.
-        // Cause: the slot counted as free although the request ran.
+        // Guards against two requests on a target with one slot. The router used the grant just in time, but its
+        // message reached the owner after the grant had expired there, and the slot counted as free although the
+        // request ran.
         const RequestId id { kRouter, 1 };
         cell.now += milliseconds(500);
         cell.scheduler->setAccepting(kFirst, false);
@@ -86,7 +86,7 @@
     }
 }
 
-TEST_CASE("A declined grant is given back once, also after it was taken for used", "[scheduling]")
+TEST_CASE("A declined grant is refunded once, even after started()", "[scheduling]")
 {
     Cell cell;
     const RequestId id = cell.offer(1, kTellers);
@@ -115,7 +115,7 @@
     REQUIRE_FALSE(cell.scheduler->nextDue());
 }
 
-TEST_CASE("Affinity picks the target with the longest prefix and never leaves a slot idle", "[scheduling]")
+TEST_CASE("Affinity prefers the target with the longest cached prefix and leaves no slot idle", "[scheduling]")
 {
     Cell cell({ { kFirst, 1 }, { kSecond, 1 } });
     cell.scheduler->prefixStored(kFirst, 10);
@@ -129,7 +129,7 @@
     REQUIRE(grants.at(0).target == kFirst);
     REQUIRE(cell.scheduler->stats().affinityHits == 2);
 
-    SECTION("but not from events with a gap")
+    SECTION("no affinity after cache events were lost")
     {
         cell.scheduler->prefixesUnknown(kFirst);
         cell.scheduler->prefixesUnknown(kSecond);
@@ -140,7 +140,7 @@
     }
 }
 
-TEST_CASE("A new owner counts the slots of what runs", "[scheduling]")
+TEST_CASE("A new owner accounts for the slots of running requests", "[scheduling]")
 {
     Cell cell({ { kFirst, 2 } });
     const RequestId running { kRouter, 7 };
@@ -156,11 +156,11 @@
     REQUIRE(cell.scheduler->stats().freeSlots == 1);
 }
 
-TEST_CASE("A router's resynchronisation keeps the charge of a grant that it had used", "[scheduling]")
+TEST_CASE("The charge of a used grant survives the router's resynchronisation", "[scheduling]")
 {
-    // Symptom: a customer gets a request for nothing at each break of a stream.
-    // Sequence: granted; used; the stream breaks before the word of it; the router is dropped and reports what runs.
-    // Cause: the drop gave the charge back, and the settlement only charges what exceeds the reported charge.
+    // Guards against a request that goes uncharged whenever a stream to a router breaks. The router used a grant, the
+    // stream broke before it could say so, and the router was dropped and then reported the running request. The drop
+    // refunded the charge, and the settlement only charges what exceeds the reported charge.
     Cell cell;
     const RequestId id = cell.offer(1, kTellers);
     const Cost charged = cell.scheduler->schedule(cell.now).at(0).charged;
@@ -172,7 +172,7 @@
     REQUIRE(cell.ledger->virtualService(kTellers) == 50);
 }
 
-TEST_CASE("Damaged costs neither stick nor stop the customer", "[scheduling]")
+TEST_CASE("Invalid costs neither persist nor block the customer", "[scheduling]")
 {
     Cell cell;
     std::uint64_t serial = 0;
@@ -188,7 +188,7 @@
     REQUIRE(cell.scheduler->stats().freeSlots == 1);
 }
 
-TEST_CASE("A target that leaves with work comes back with the same slots taken", "[scheduling]")
+TEST_CASE("A target that is removed with running requests returns with their slots in use", "[scheduling]")
 {
     Cell cell({ { kFirst, 1 }, { kSecond, 1 } });
     cell.offer(1, kTellers);
@@ -203,7 +203,7 @@
     REQUIRE(cell.granted() == Serials { 2 });
 }
 
-TEST_CASE("Hints count once they have proved right, and then within limits", "[scheduling]")
+TEST_CASE("Hints are used once they have proved accurate, and within limits", "[scheduling]")
 {
     CostEstimator honest;
     CostEstimator liar;
--- a/tests/SchedulingWorldFaults.cpp
+++ b/tests/SchedulingSimulationFaults.cpp
@@ -1,4 +1,4 @@
-#include "SchedulingWorld.h"
+#include "SchedulingSimulation.h"
 
 #include <algorithm>
 
@@ -7,20 +7,20 @@
 namespace {
 
     constexpr Duration kSummaryInterval = std::chrono::milliseconds(100);
-    constexpr Duration kLongestMailDelay = std::chrono::milliseconds(300);
+    constexpr Duration kMaxSummaryDelay = std::chrono::milliseconds(300);
 
 } // namespace
 
-void World::disturb()
+void Simulation::injectFaults()
 {
-    if (m_settings.deaths && chance(0.005))
-        killRouter(m_settings.nodes - 1);
+    if (m_settings.crashes && chance(0.005))
+        crashRouter(m_settings.routers - 1);
     if (chance(0.01))
-        resynchronise(m_random.below(m_settings.nodes));
-    for (auto& it : m_nodes) {
+        resynchronise(m_random.below(m_settings.routers));
+    for (auto& it : m_routers) {
         if (!it.scheduler || !chance(0.2))
             continue;
-        // Messages that come twice or late, for requests in any state and for none.
+        // Duplicate and late messages, for requests in any state and for unknown ones.
         const RequestId unknown { it.life, 1'000'000'000 };
         it.scheduler->settle(m_now, unknown, 50);
         it.scheduler->decline(m_now, unknown);
@@ -28,7 +28,7 @@
         it.scheduler->progress(m_now, unknown, 50);
         const CellTarget target = targetsOf(*it.cell)[m_random.below(m_settings.targetsPerCell)];
         it.scheduler->prefixStored(target.id, m_random.below(8));
-        // Even prefixes stay, so that affinity has favourites.
+        // Even prefixes are never evicted, so that affinity has stable matches.
         it.scheduler->prefixEvicted(target.id, m_random.below(4) * 2 + 1);
     }
     for (auto& [id, request] : m_requests) {
@@ -37,33 +37,33 @@
     }
 }
 
-void World::killRouter(std::uint32_t n)
+void Simulation::crashRouter(std::uint32_t n)
 {
-    Node& node = m_nodes[n];
-    if (node.scheduler)
+    Router& router = m_routers[n];
+    if (router.scheduler)
         return;
     for (auto& [id, request] : m_requests) {
-        if (id.origin != node.life || request.state == State::Ended)
+        if (id.origin != router.life || request.state == State::Ended)
             continue;
-        // What it got before its router died is not known; the charge stands for it.
+        // The service received before the crash is unknown, so the charge is counted instead.
         if (request.state == State::Running) {
             Customer& customer = m_customers[request.customer];
             customer.served += (request.charged - request.cost) / customer.weight;
         }
         setState(request, State::Ended);
     }
-    for (auto& it : m_nodes) {
+    for (auto& it : m_routers) {
         if (it.scheduler)
-            it.scheduler->dropRouter(m_now, node.life);
+            it.scheduler->dropRouter(m_now, router.life);
     }
-    std::erase_if(m_requests, [&](const auto& it) { return it.first.origin == node.life; });
-    ++node.life.incarnation;
+    std::erase_if(m_requests, [&](const auto& it) { return it.first.origin == router.life; });
+    ++router.life.incarnation;
 }
 
-void World::resynchronise(std::uint32_t n)
+void Simulation::resynchronise(std::uint32_t n)
 {
-    const RouterLife life = m_nodes[n].life;
-    for (auto& it : m_nodes) {
+    const RouterLife life = m_routers[n].life;
+    for (auto& it : m_routers) {
         if (it.scheduler)
             it.scheduler->dropRouter(m_now, life);
     }
@@ -81,67 +81,67 @@
     }
 }
 
-void World::crashOwner(std::uint32_t next, bool keepRegisters)
+void Simulation::crashOwner(std::uint32_t next, bool keepRegisters)
 {
-    const auto isOwner = [](const Node& it) { return it.cell == 0U; };
-    Node& old = *std::find_if(m_nodes.begin(), m_nodes.end(), isOwner);
-    Node& heir = m_nodes[next];
+    const auto isOwner = [](const Router& it) { return it.cell == 0U; };
+    Router& old = *std::find_if(m_routers.begin(), m_routers.end(), isOwner);
+    Router& successor = m_routers[next];
     old.cell.reset();
     old.scheduler.reset();
     if (!keepRegisters)
-        heir.ledger = m_settings.makeLedger(m_pool, heir.life);
-    heir.ledger->retire(old.life);
+        successor.ledger = m_settings.makeLedger(m_pool, successor.life);
+    successor.ledger->retire(old.life);
     ++old.life.incarnation;
     old.ledger = m_settings.makeLedger(m_pool, old.life);
-    std::erase_if(m_mail, [](const Mail&) { return true; });
+    std::erase_if(m_summariesInTransit, [](const SummaryInTransit&) { return true; });
     for (const auto& it : m_customers) {
-        heir.ledger->setWeight(it.id, it.weight);
+        successor.ledger->setWeight(it.id, it.weight);
         old.ledger->setWeight(it.id, it.weight);
     }
     if (keepRegisters) {
-        for (const auto& it : heir.ledger->others())
-            old.ledger->absorb(it);
-        old.ledger->absorb(heir.ledger->summarize(true));
+        for (const auto& it : successor.ledger->peerSummaries())
+            old.ledger->mergeSummary(it);
+        old.ledger->mergeSummary(successor.ledger->summarize(true));
     }
-    own(heir, 0);
+    takeOwnership(successor, 0);
     for (auto& [id, request] : m_requests) {
         if (request.state == State::Running)
-            heir.scheduler->adopt(m_now, { id, request.offer.customer, request.target, request.charged });
+            successor.scheduler->adopt(m_now, { id, request.offer.customer, request.target, request.charged });
         if (request.state == State::Granted)
             setState(request, State::Offered);
         if (request.state == State::Offered)
-            heir.scheduler->offer(m_now, request.offer);
+            successor.scheduler->offer(m_now, request.offer);
     }
 }
 
-void World::exchange()
+void Simulation::exchangeSummaries()
 {
     if (m_now >= m_nextSummary) {
         const bool isFirst = m_nextSummary == TimePoint {};
         m_nextSummary = m_now + kSummaryInterval;
-        for (std::uint32_t from = 0; from < m_nodes.size(); ++from) {
-            if (!m_nodes[from].scheduler)
+        for (std::uint32_t from = 0; from < m_routers.size(); ++from) {
+            if (!m_routers[from].scheduler)
                 continue;
-            PoolSummary summary = m_nodes[from].ledger->summarize(isFirst || chance(0.05));
-            summary.cells = { m_nodes[from].scheduler->digest() };
-            for (std::uint32_t to = 0; to < m_nodes.size(); ++to) {
-                // Lost, doubled and, by random delays, reordered.
+            PoolSummary summary = m_routers[from].ledger->summarize(isFirst || chance(0.05));
+            summary.cells = { m_routers[from].scheduler->digest() };
+            for (std::uint32_t to = 0; to < m_routers.size(); ++to) {
+                // Summaries are lost, duplicated and, by random delays, reordered.
                 for (int copies = 1 + chance(0.2); to != from && copies && (isFirst || !chance(m_settings.summaryLoss));
                      --copies) {
-                    const Duration delay(m_random.below(kLongestMailDelay.count()));
-                    m_mail.push_back({ m_now + delay, to, summary });
+                    const Duration delay(m_random.below(kMaxSummaryDelay.count()));
+                    m_summariesInTransit.push_back({ m_now + delay, to, summary });
                 }
             }
         }
     }
-    for (auto& it : m_mail) {
+    for (auto& it : m_summariesInTransit) {
         if (it.due > m_now)
             continue;
-        m_nodes[it.to].ledger->absorb(it.summary);
+        m_routers[it.to].ledger->mergeSummary(it.summary);
         for (const auto& digest : it.summary.cells)
-            m_nodes[it.to].placer->learn(m_now, digest);
+            m_routers[it.to].placer->updateDigest(m_now, digest);
     }
-    std::erase_if(m_mail, [this](const Mail& it) { return it.due <= m_now; });
+    std::erase_if(m_summariesInTransit, [this](const SummaryInTransit& it) { return it.due <= m_now; });
 }
 
 } // namespace sagechute::scheduling::test
--- a/tests/SchedulingTest.cpp
+++ b/tests/SchedulingTest.cpp
@@ -1,4 +1,4 @@
-#include "SchedulingWorld.h"
+#include "SchedulingSimulation.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Passes everything on; a deliberate fault overrides one member.
-class Passing : public CellScheduler {
+/// Forwards all calls. Deliberate faults derive from it and override one member.
+class ForwardingScheduler : public CellScheduler {
 public:
-    explicit Passing(std::unique_ptr<CellScheduler> inner)
+    explicit ForwardingScheduler(std::unique_ptr<CellScheduler> inner)
         : m_inner(std::move(inner))
     {
     }
@@ -43,13 +43,13 @@
     std::unique_ptr<CellScheduler> m_inner;
 };
 
-struct WithoutSettlement final : Passing {
-    using Passing::Passing;
+struct WithoutSettlement final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     void settle(TimePoint now, const RequestId& id, Cost) override { inner().settle(now, id, std::nan("")); }
 };
 
-struct WithoutAvoidance final : Passing {
-    using Passing::Passing;
+struct WithoutAvoidance final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     void offer(TimePoint now, Offer it) override
     {
         it.avoid.clear();
@@ -57,8 +57,8 @@
     }
 };
 
-struct Lazy final : Passing {
-    using Passing::Passing;
+struct SkippingScheduler final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     std::vector<Grant> schedule(TimePoint now) override
     {
         return ++m_calls % 3 ? inner().schedule(now) : std::vector<Grant> {};
@@ -66,8 +66,8 @@
     int m_calls = 0;
 };
 
-struct WithoutExpiry final : Passing {
-    using Passing::Passing;
+struct WithoutExpiry final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     std::vector<Grant> schedule(TimePoint now) override
     {
         auto grants = inner().schedule(now);
@@ -77,13 +77,13 @@
     }
 };
 
-struct Forgetful final : Passing {
-    using Passing::Passing;
+struct ReleasingOnStart final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     void started(TimePoint now, const RequestId& id) override { inner().settle(now, id, 0); }
 };
 
-struct Overfilling final : Passing {
-    using Passing::Passing;
+struct OverstatingSlots final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     void setTargets(const std::vector<CellTarget>& targets) override
     {
         auto more = targets;
@@ -93,8 +93,8 @@
     }
 };
 
-struct Deaf final : Passing {
-    using Passing::Passing;
+struct DroppingOffers final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     void offer(TimePoint now, Offer it) override
     {
         if (it.customer.value != "customer-0")
@@ -102,8 +102,8 @@
     }
 };
 
-struct Doubling final : Passing {
-    using Passing::Passing;
+struct DuplicatingGrants final : ForwardingScheduler {
+    using ForwardingScheduler::ForwardingScheduler;
     std::vector<Grant> schedule(TimePoint now) override
     {
         auto grants = inner().schedule(now);
@@ -113,37 +113,37 @@
     }
 };
 
-template <typename Fault> WrapScheduler with()
+template <typename Fault> WrapScheduler withScheduler()
 {
     return [](std::unique_ptr<CellScheduler> inner) { return std::make_unique<Fault>(std::move(inner)); };
 }
 
-/// Leaves the lift out: idleness earns credit.
-class UnliftedLedger final : public LedgerCore {
+/// Omits the lift, so that idle customers earn credit.
+class LedgerWithoutLift final : public LedgerCore {
 public:
     using LedgerCore::LedgerCore;
 
 private:
-    Cost onLift(Cost, Cost, Cost) const override { return 0; }
+    Cost liftFor(Cost, Cost, Cost) const override { return 0; }
 };
 
-template <typename Ledger> MakeLedger make()
+template <typename Ledger> MakeLedger withLedger()
 {
     return [](const PoolId& pool, const RouterLife& life) { return std::make_unique<Ledger>(pool, life); };
 }
 
-/// @return how many of 20 worlds show the breach.
-int worldsWith(Breach breach, WorldSettings settings)
+/// @return in how many of 20 simulations the violation occurs.
+int countViolations(Violation violation, SimulationSettings settings)
 {
     int found = 0;
     for (settings.seed = 1; settings.seed <= 20; ++settings.seed)
-        found += World(settings).run().contains(breach);
+        found += Simulation(settings).run().contains(violation);
     return found;
 }
 
-WorldSettings anySettings()
+SimulationSettings randomSettings()
 {
-    WorldSettings settings;
+    SimulationSettings settings;
     settings.seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000'000);
     settings.targetsPerCell = *rc::gen::inRange(1U, 4U);
     settings.slotsPerTarget = *rc::gen::inRange(1U, 4U);
@@ -156,129 +156,129 @@
 
 } // namespace
 
-TEST_CASE("One cell keeps every promise over random faults", "[scheduling]")
+TEST_CASE("One cell upholds all invariants under random faults", "[scheduling]")
 {
-    REQUIRE(rc::check("gap, work conservation, single grants, slots, no starvation",
-        [] { RC_ASSERT(World(anySettings()).run() == std::set<Breach> {}); }));
+    REQUIRE(rc::check("gap bound, work conservation, single grants, slot limits, no starvation",
+        [] { RC_ASSERT(Simulation(randomSettings()).run() == std::set<Violation> {}); }));
 }
 
-TEST_CASE("Avoided targets are respected and no other slot idles for them", "[scheduling]")
+TEST_CASE("Avoided targets are not used, and no usable slot is left idle", "[scheduling]")
 {
     REQUIRE(rc::check("avoidance", [] {
-        WorldSettings settings = anySettings();
+        SimulationSettings settings = randomSettings();
         settings.targetsPerCell = *rc::gen::inRange(2U, 4U);
         settings.avoidance = true;
-        auto breaches = World(settings).run();
-        // A customer whose requests avoid every free target lags behind lawfully, so the gaps say nothing here.
-        breaches.erase(Breach::Gap);
-        breaches.erase(Breach::MeasuredGap);
-        RC_ASSERT(breaches == std::set<Breach> {});
+        auto violations = Simulation(settings).run();
+        // A customer whose requests avoid all free targets falls behind legitimately, so gaps are no violation here.
+        violations.erase(Violation::Gap);
+        violations.erase(Violation::MeasuredGap);
+        RC_ASSERT(violations == std::set<Violation> {});
     }));
 }
 
-TEST_CASE("Two cells keep the gap while summaries are lost, doubled and reordered", "[scheduling]")
+TEST_CASE("Two cells keep the gap bound while summaries are lost, duplicated and reordered", "[scheduling]")
 {
     REQUIRE(rc::check("two cells", [] {
-        WorldSettings settings = anySettings();
-        settings.nodes = 3;
+        SimulationSettings settings = randomSettings();
+        settings.routers = 3;
         settings.cells = 2;
-        RC_ASSERT(World(settings).run() == std::set<Breach> {});
+        RC_ASSERT(Simulation(settings).run() == std::set<Violation> {});
     }));
 }
 
-TEST_CASE("Each property catches its deliberate fault", "[scheduling]")
+TEST_CASE("Each invariant check detects its deliberate fault", "[scheduling]")
 {
-    WorldSettings settings;
-    SECTION("the control has no fault")
+    SimulationSettings settings;
+    SECTION("control without a fault")
     {
         for (settings.seed = 1; settings.seed <= 20; ++settings.seed)
-            REQUIRE(World(settings).run().empty());
+            REQUIRE(Simulation(settings).run().empty());
     }
     SECTION("lift left out")
     {
-        settings.makeLedger = make<UnliftedLedger>();
-        REQUIRE(worldsWith(Breach::Gap, settings) > 10);
+        settings.makeLedger = withLedger<LedgerWithoutLift>();
+        REQUIRE(countViolations(Violation::Gap, settings) > 10);
     }
     SECTION("settlement left out")
     {
         settings.idlePhases = false;
-        settings.length = std::chrono::seconds(30);
-        settings.wrap = with<WithoutSettlement>();
-        REQUIRE(worldsWith(Breach::Gap, settings) > 10);
+        settings.duration = std::chrono::seconds(30);
+        settings.wrapScheduler = withScheduler<WithoutSettlement>();
+        REQUIRE(countViolations(Violation::Gap, settings) > 10);
     }
     SECTION("affinity without bound")
     {
         settings.idlePhases = false;
-        settings.length = std::chrono::seconds(30);
+        settings.duration = std::chrono::seconds(30);
         settings.cell.affinitySlack = 1e6;
-        settings.reckonedSlack = 0.25;
-        REQUIRE(worldsWith(Breach::Gap, settings) > 10);
+        settings.boundSlack = 0.25;
+        REQUIRE(countViolations(Violation::Gap, settings) > 10);
     }
     SECTION("order of arrival instead of fair order")
     {
         settings.idlePhases = false;
         settings.cell.policy = Policy::Fifo;
-        REQUIRE(worldsWith(Breach::Gap, settings) > 10);
+        REQUIRE(countViolations(Violation::Gap, settings) > 10);
     }
     SECTION("avoided targets ignored")
     {
         settings.avoidance = true;
-        settings.wrap = with<WithoutAvoidance>();
-        REQUIRE(worldsWith(Breach::AvoidIgnored, settings) == 20);
+        settings.wrapScheduler = withScheduler<WithoutAvoidance>();
+        REQUIRE(countViolations(Violation::AvoidIgnored, settings) == 20);
     }
     SECTION("every third schedule() does nothing")
     {
-        settings.wrap = with<Lazy>();
-        REQUIRE(worldsWith(Breach::IdleSlot, settings) == 20);
+        settings.wrapScheduler = withScheduler<SkippingScheduler>();
+        REQUIRE(countViolations(Violation::IdleSlot, settings) == 20);
     }
     SECTION("unused grants do not expire")
     {
-        settings.wrap = with<WithoutExpiry>();
-        REQUIRE(worldsWith(Breach::IdleSlot, settings) == 20);
+        settings.wrapScheduler = withScheduler<WithoutExpiry>();
+        REQUIRE(countViolations(Violation::IdleSlot, settings) == 20);
     }
     SECTION("a slot counts as free once its request has started")
     {
-        settings.wrap = with<Forgetful>();
-        REQUIRE(worldsWith(Breach::SlotsExceeded, settings) == 20);
+        settings.wrapScheduler = withScheduler<ReleasingOnStart>();
+        REQUIRE(countViolations(Violation::SlotsExceeded, settings) == 20);
     }
     SECTION("one slot more than there is")
     {
-        settings.wrap = with<Overfilling>();
-        REQUIRE(worldsWith(Breach::SlotsExceeded, settings) == 20);
+        settings.wrapScheduler = withScheduler<OverstatingSlots>();
+        REQUIRE(countViolations(Violation::SlotsExceeded, settings) == 20);
     }
     SECTION("a request granted twice")
     {
-        settings.wrap = with<Doubling>();
-        REQUIRE(worldsWith(Breach::GrantedTwice, settings) == 20);
+        settings.wrapScheduler = withScheduler<DuplicatingGrants>();
+        REQUIRE(countViolations(Violation::GrantedTwice, settings) == 20);
     }
     SECTION("one customer's offers lost")
     {
-        settings.wrap = with<Deaf>();
-        REQUIRE(worldsWith(Breach::Starved, settings) == 20);
+        settings.wrapScheduler = withScheduler<DroppingOffers>();
+        REQUIRE(countViolations(Violation::Starved, settings) == 20);
     }
     SECTION("no summaries between two cells")
     {
-        settings.nodes = 3;
+        settings.routers = 3;
         settings.cells = 2;
         settings.summaryLoss = 1;
-        REQUIRE(worldsWith(Breach::Gap, settings) > 10);
+        REQUIRE(countViolations(Violation::Gap, settings) > 10);
     }
 }
 
-TEST_CASE("An owner's crash costs less than it would with nothing kept", "[scheduling]")
+TEST_CASE("Retained registers reduce the service gap after owner crashes", "[scheduling]")
 {
-    // Symptom: customers that always wait draw apart by the number of owners that have died.
-    // Sequence: the owner of the cell dies; the next in line takes over and adopts what runs; repeat 40 times.
-    // Cause: what the dead owner had charged since its last summary is lost, and with nothing kept all it ever charged.
+    // Guards against a gap between backlogged customers that grows with the number of crashed owners. Each crash loses
+    // the charges made since the owner's last summary; without registers it loses all of the owner's charges. The owner
+    // crashes 40 times, and each successor takes over the cell and its running requests.
     const auto gapAfterCrashes = [](std::uint64_t seed, bool keepRegisters, Cost& bound) {
-        WorldSettings settings;
+        SimulationSettings settings;
         settings.seed = seed;
         settings.weights = { 1, 1, 1, 1, 2, 4 };
         settings.targetsPerCell = 3;
         settings.largestCost = 200;
         settings.idlePhases = false;
         settings.faults = false;
-        World world(settings);
+        Simulation world(settings);
         world.runFor(std::chrono::seconds(2));
         for (std::uint32_t n = 1; n <= 40; ++n) {
             world.crashOwner(n % 2, keepRegisters);
@@ -287,15 +287,15 @@
         bound = world.bound();
         return world.gap();
     };
-    Cost with = 0;
-    Cost without = 0;
+    Cost withRegisters = 0;
+    Cost withoutRegisters = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Cost bound = 0;
         const Cost gap = gapAfterCrashes(seed, true, bound);
         REQUIRE(gap <= bound);
-        with += gap;
-        without += gapAfterCrashes(seed, false, bound);
+        withRegisters += gap;
+        withoutRegisters += gapAfterCrashes(seed, false, bound);
     }
-    CAPTURE(with, without);
-    REQUIRE(with < without);
+    CAPTURE(withRegisters, withoutRegisters);
+    REQUIRE(withRegisters < withoutRegisters);
 }
--- a/tests/ServiceLedgerTest.cpp
+++ b/tests/ServiceLedgerTest.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-TEST_CASE("Ledgers agree whatever becomes of their summaries", "[scheduling]")
+TEST_CASE("Ledgers converge when summaries are lost, duplicated or reordered", "[scheduling]")
 {
-    REQUIRE(rc::check("convergence over loss, doubling and reordering", [] {
+    REQUIRE(rc::check("convergence under loss, duplication and reordering", [] {
         std::vector<std::unique_ptr<ServiceLedger>> ledgers;
         ledgers.reserve(3);
         for (int n = 0; n < 3; ++n)
@@ -42,11 +42,11 @@
                 underWay.push_back(ledger.summarize(*rc::gen::inRange(0, 4) == 0));
         }
         for (int n = *rc::gen::inRange(0, 60); n > 0 && !underWay.empty(); --n)
-            ledgers[*rc::gen::inRange(0, 3)]->absorb(*rc::gen::elementOf(underWay));
+            ledgers[*rc::gen::inRange(0, 3)]->mergeSummary(*rc::gen::elementOf(underWay));
         for (auto& from : ledgers) {
             const PoolSummary full = from->summarize(true);
             for (auto& to : ledgers)
-                to->absorb(full);
+                to->mergeSummary(full);
         }
         for (const auto& [customer, service] : truth) {
             for (const auto& it : ledgers)
@@ -55,18 +55,18 @@
     }));
 }
 
-TEST_CASE("Idleness earns nothing, and debt and lag are kept", "[scheduling]")
+TEST_CASE("Idle customers earn no credit and keep their debt and lag", "[scheduling]")
 {
     LedgerCore ledger(kPool, life("router-1"));
-    ledger.keepLag(50);
+    ledger.raiseLagLimit(50);
     ledger.setBacklogged(kBatch, true);
     ledger.charge(kBatch, 1000);
-    SECTION("a newcomer starts level")
+    SECTION("a new customer starts at the virtual time")
     {
         ledger.setBacklogged(kTellers, true);
         REQUIRE(ledger.virtualService(kTellers) == 1000);
     }
-    SECTION("a newcomer starts level when everybody has left")
+    SECTION("a new customer starts at the virtual time when no customer is backlogged")
     {
         ledger.setBacklogged(kBatch, false);
         ledger.setBacklogged(kTellers, true);
@@ -78,11 +78,11 @@
         ledger.setBacklogged(kTellers, true);
         REQUIRE(ledger.virtualService(kTellers) == 1500);
     }
-    SECTION("a window that runs out for a moment costs nothing")
+    SECTION("a window of offers that runs out briefly keeps the lag")
     {
-        // Symptom: two cells, both customers always waiting, yet one draws away by thousands of units.
-        // Sequence: the lagging one's window of offers is used up; a round trip later it is offered again; repeat.
-        // Cause: each return lifted it to the smallest virtual service, and what it was owed was gone.
+        // Guards against a gap of thousands of units between two customers with constant demand in two cells. The
+        // lagging customer's window of offers was repeatedly used up for a round trip, and each return lifted it fully
+        // to the smallest virtual service, so that it lost the service it was owed.
         ledger.setBacklogged(kTellers, true);
         ledger.charge(kBatch, 30);
         for (int n = 0; n < 10; ++n) {
@@ -97,7 +97,7 @@
     }
 }
 
-TEST_CASE("A change of weight counts from then on", "[scheduling]")
+TEST_CASE("A change of weight applies to later charges only", "[scheduling]")
 {
     const auto ledger = ServiceLedger::make(kPool, life("router-1"));
     ledger->charge(kBatch, 1000);
@@ -107,25 +107,25 @@
     REQUIRE(ledger->virtualService(kBatch) == 1010);
 }
 
-TEST_CASE("A late summary does not bring a dead life's backlog back", "[scheduling]")
+TEST_CASE("A late summary does not restore the backlog of a retired router", "[scheduling]")
 {
-    // Symptom: a customer that was idle for an hour gets every slot when it returns.
-    // Sequence: a router dies and is retired; its last summary, under way since before, arrives; the customer comes
-    // back. Cause: the summary made the customer count as backlogged for ever, so it was not lifted.
+    // Guards against a customer that gets every slot when it returns after an hour of idleness. A router died and was
+    // retired; then its last summary arrived, which had been in transit. It made the customer count as backlogged
+    // forever, so that the customer was not lifted on its return.
     LedgerCore ledger(kPool, life("router-1"));
     const RouterLife dead = life("router-2");
-    ledger.absorb(summaryOf(dead, 1, 10, true));
+    ledger.mergeSummary(summaryOf(dead, 1, 10, true));
     ledger.retire(dead);
-    ledger.absorb(summaryOf(dead, 2, 20, true));
+    ledger.mergeSummary(summaryOf(dead, 2, 20, true));
     ledger.setBacklogged(kBatch, true);
     ledger.charge(kBatch, 1000);
     ledger.setBacklogged(kTellers, true);
     REQUIRE(ledger.virtualService(kTellers) == ledger.virtualService(kBatch));
-    SECTION("but a life that was retired by mistake counts again")
+    SECTION("a router retired by mistake is revived by further summaries")
     {
         ledger.setBacklogged(kTellers, false);
         for (std::uint64_t n = 3; n < 7; ++n)
-            ledger.absorb(summaryOf(dead, n, 20 + n, true));
+            ledger.mergeSummary(summaryOf(dead, n, 20 + n, true));
         ledger.charge(kBatch, 1000);
         const Cost before = ledger.virtualService(kTellers);
         ledger.setBacklogged(kTellers, true);
@@ -133,57 +133,57 @@
     }
 }
 
-TEST_CASE("Thousands of lives leave their service and no memory behind", "[scheduling]")
+TEST_CASE("Thousands of router incarnations keep their service in bounded memory", "[scheduling]")
 {
     LedgerCore ledger(kPool, life("router-1"));
     for (Incarnation n = 1; n <= 5000; ++n) {
         const RouterLife one = life("router-" + std::to_string(n % 7 + 2), n);
-        ledger.absorb(summaryOf(one, 1, 1));
+        ledger.mergeSummary(summaryOf(one, 1, 1));
         if (n % 2)
             ledger.retire(one);
     }
     for (int n = 0; n < 2000; ++n)
-        ledger.absorb(summaryOf(life("once-" + std::to_string(n)), 1, 1));
+        ledger.mergeSummary(summaryOf(life("once-" + std::to_string(n)), 1, 1));
     REQUIRE(ledger.virtualService(kTellers) == 7000);
-    REQUIRE(ledger.lifeCount() <= LifeTable::kLivesKept);
-    SECTION("a folded life that returns counts what it adds")
+    REQUIRE(ledger.incarnationCount() <= LifeTable::kMaxIncarnations);
+    SECTION("a folded incarnation that returns adds only its new charges")
     {
-        ledger.absorb(summaryOf(life("once-1000"), 2, 1));
-        ledger.absorb(summaryOf(life("once-1000"), 3, 5));
+        ledger.mergeSummary(summaryOf(life("once-1000"), 2, 1));
+        ledger.mergeSummary(summaryOf(life("once-1000"), 3, 5));
         REQUIRE(ledger.virtualService(kTellers) == 7004);
     }
-    SECTION("a router that starts with nothing learns all of it from one peer, and doubled")
+    SECTION("a router without state gets all service from one peer, even if sent twice")
     {
-        ledger.absorb(summaryOf(life("once-1000"), 2, 1));
+        ledger.mergeSummary(summaryOf(life("once-1000"), 2, 1));
         LedgerCore fresh(kPool, life("router-9", 9999));
         for (int n = 0; n < 2; ++n) {
-            for (const auto& it : ledger.others())
-                fresh.absorb(it);
-            fresh.absorb(ledger.summarize(true));
+            for (const auto& it : ledger.peerSummaries())
+                fresh.mergeSummary(it);
+            fresh.mergeSummary(ledger.summarize(true));
         }
         REQUIRE(fresh.virtualService(kTellers) == 7000);
-        fresh.absorb(summaryOf(life("once-1000"), 4, 8));
+        fresh.mergeSummary(summaryOf(life("once-1000"), 4, 8));
         REQUIRE(fresh.virtualService(kTellers) == 7007);
     }
 }
 
-TEST_CASE("What a partition hid is compensated up to a bound", "[scheduling]")
+TEST_CASE("Charges hidden by a partition are compensated up to a limit", "[scheduling]")
 {
-    // Symptom: after a partition the customer that had been served on the other side gets nothing for minutes.
-    // Sequence: both sides serve for ten minutes; they rejoin; one customer is 600,000 units ahead.
-    // Cause: the others were preferred until they had caught up with all of it.
+    // Guards against a customer that gets no service for minutes after a network partition. Both sides had served
+    // requests for ten minutes, which left the customer 600,000 units ahead, and the others were preferred until they
+    // had caught up completely.
     LedgerCore ledger(kPool, life("router-1"));
-    ledger.limitCompensation(1000);
+    ledger.raiseCompensationLimit(1000);
     ledger.setBacklogged(kBatch, true);
     ledger.setBacklogged(kTellers, true);
-    ledger.absorb({ kPool, life("router-2"), 1, true, 0, { { kTellers, 10 } }, {} });
-    ledger.absorb(summaryOf(life("router-2"), 2, 600'000));
+    ledger.mergeSummary({ kPool, life("router-2"), 1, true, 0, { { kTellers, 10 } }, {} });
+    ledger.mergeSummary(summaryOf(life("router-2"), 2, 600'000));
     const Cost ahead = ledger.virtualService(kTellers) - ledger.virtualService(kBatch);
     REQUIRE(ahead > 999);
     REQUIRE(ahead < 2000);
 }
 
-TEST_CASE("Damaged numbers change nothing", "[scheduling]")
+TEST_CASE("Invalid numbers are ignored", "[scheduling]")
 {
     const auto ledger = ServiceLedger::make(kPool, life("router-1"));
     ledger->charge(kTellers, 5);
@@ -192,12 +192,12 @@
     ledger->setWeight(kTellers, std::nan(""));
     ledger->setWeight(kTellers, -1);
     for (const Cost cost : { std::nan(""), double(INFINITY), 1e300 })
-        ledger->absorb(summaryOf(life("router-2"), 1, cost));
-    ledger->absorb({ PoolId { "other" }, life("router-3"), 1, true, 0, { { kTellers, 7 } }, {} });
+        ledger->mergeSummary(summaryOf(life("router-2"), 1, cost));
+    ledger->mergeSummary({ PoolId { "other" }, life("router-3"), 1, true, 0, { { kTellers, 7 } }, {} });
     REQUIRE(ledger->virtualService(kTellers) == 5);
 }
 
-TEST_CASE("The measured gap counts from when the later customer came", "[scheduling]")
+TEST_CASE("The measured gap starts when the later customer becomes backlogged", "[scheduling]")
 {
     LedgerCore ledger(kPool, life("router-1"));
     ledger.setBacklogged(kBatch, true);
--- a/tests/WireTest.cpp
+++ b/tests/WireTest.cpp
@@ -81,7 +81,7 @@
         s.sequence = number();
         s.full = flag();
         s.virtualTime = cost();
-        s.customers = list([this] { return scheduling::CustomerService { { name() }, cost(), cost(), flag() }; });
+        s.customers = list([this] { return scheduling::CustomerServiceEntry { { name() }, cost(), cost(), flag() }; });
         s.cells = list([this] { return scheduling::CellDigest { small(), small(), small(), cost() }; });
     }
     void fill(LedgerPullMessage& m) { m.pool.value = name(); }
