--- a/src/scheduling/CellRequests.h
+++ b/src/scheduling/CellRequests.h
@@ -18,8 +18,7 @@
     Waiting,
     Granted, ///< A slot is reserved until the grant expires.
     Running,
-    Dropped, ///< Its router was dropped while it held a grant. Kept until the grant's expiry, in case the grant was
-             ///< used.
+    Dropped, ///< Its router was dropped. Kept until the grant's expiry, in case the grant was used.
 };
 
 /// Index of a router incarnation that requests came from; reused after its last request is removed.
--- a/src/scheduling/GapMeter.h
+++ b/src/scheduling/GapMeter.h
@@ -14,13 +14,14 @@
 
 /// Accumulates normalised service per customer and keeps past samples of it. For two customers that have been
 /// backlogged continuously since a sample, the difference in service received since then is a service gap; the result
-/// is the largest gap over all samples. Recording for each pair when the later customer became backlogged would be
-/// exact, but needs memory quadratic in the number of customers.
+/// is the largest gap over all samples. Recording for each pair when the later customer became backlogged would need
+/// memory quadratic in the number of customers.
 class GapMeter {
 public:
     void add(CustomerIndex, Cost normalised);
 
-    /// Adds service that was charged before the oldest sample and only became known now. It does not count as a gap.
+    /// Adds service from before the period that this meter covers, which only became known now. It does not count as a
+    /// gap.
     void addHistory(CustomerIndex, Cost normalised);
 
     void setBacklogged(CustomerIndex, bool);
