--- a/apps/sagechute-router/Attempt.cpp
+++ b/apps/sagechute-router/Attempt.cpp
@@ -37,7 +37,7 @@
         case net::TransferEnd::NothingSent:
             return AttemptEnd::NothingSent;
         case net::TransferEnd::TimedOut:
-            return AttemptEnd::Silent;
+            return AttemptEnd::Stalled;
         case net::TransferEnd::BrokenAfterSend:
         case net::TransferEnd::Cancelled:
             return AttemptEnd::Broken;
--- a/apps/sagechute-router/Executor.cpp
+++ b/apps/sagechute-router/Executor.cpp
@@ -77,7 +77,7 @@
     if (!entry)
         return;
     m_outlets.attempts.cancel(entry->transfer);
-    if (action.tellTarget)
+    if (action.notifyTarget)
         m_outlets.attempts.cancelAtTarget(action.address, entry->caller->idText());
 }
 
--- a/apps/sagechute-router/LogReader.cpp
+++ b/apps/sagechute-router/LogReader.cpp
@@ -51,13 +51,13 @@
 {
     if (!m_snapshotTried)
         readSnapshot();
-    const TimePoint asked = steadyNow();
+    const TimePoint startedAt = steadyNow();
     m_sent.fetch_add(requestBytes);
     const LogOffset from = m_next.load(std::memory_order_relaxed);
     const absl::StatusOr<config::LogBatch> batch = m_log.read(config::configStream, from, longPoll);
     if (batch.ok() && batch->first <= from) {
         m_received.fetch_add(bytesOf(*batch));
-        m_inbox.push(routing::LogRead { asked, batch->records });
+        m_inbox.push(routing::LogRead { startedAt, batch->records });
         // The core tells its next offset only after it has applied these; reading before would bring the same records
         // again.
         while (!batch->records.empty() && m_next.load(std::memory_order_relaxed) <= from && !m_stopped.load())
@@ -67,7 +67,7 @@
     // Records that this router lacks are gone. Taking the answer for a fresh one would leave it at its old
     // configuration for good.
     m_snapshotTried = m_snapshotTried && !batch.ok();
-    m_inbox.push(routing::LogFailed {});
+    m_inbox.push(routing::LogReadFailed {});
     pause(retryDelay);
 }
 
--- a/apps/sagechute-router/main.cpp
+++ b/apps/sagechute-router/main.cpp
@@ -203,7 +203,7 @@
         void watchCaller(const std::shared_ptr<CallerRequest>& caller)
         {
             const RequestId id = caller->id();
-            caller->exchange().onClosed([this, id] { m_inbox.push(routing::CallerGone { id }); });
+            caller->exchange().onClosed([this, id] { m_inbox.push(routing::CallerDisconnected { id }); });
             if (!caller->streamed())
                 return;
             const std::weak_ptr<CallerRequest> weak = caller;
--- a/bench/RoutingBench.cpp
+++ b/bench/RoutingBench.cpp
@@ -1,6 +1,6 @@
-// What a router's decisions cost at several sizes of the fleet, up to the size to design for: messages and their bytes,
-// processor time by kind of event, and memory. The cores are the product's; network, targets, callers and clock are
-// fake (RoutingFleet). Counters named ...PerSecond and ...Seconds are virtual time; processor time is real.
+// Cost of a router's decisions at several fleet sizes, up to the size designed for: messages and their bytes, processor
+// time by kind of event, and memory. The cores are production code; network, targets, callers and clock are fakes
+// (RoutingFleet). Counters named ...PerSecond and ...Seconds are in virtual time; processor time is real.
 
 #include "RoutingFleet.h"
 
@@ -29,8 +29,8 @@
         void onDown(const RouterLife&) override { }
     };
 
-    /// @return the bytes in both directions that one end of a connection takes for its opening and its orderly end, as
-    /// the transport itself counts them: those of a connection that carried one message, less that message's.
+    /// @return the bytes in both directions that one end of a connection spends on opening and closing it, as counted
+    /// by the transport: the bytes of a connection that carried one message, less those of the message.
     double connectionBytes()
     {
         constexpr Duration idle = 300ms;
@@ -60,7 +60,7 @@
         return std::accumulate(values.begin(), values.end(), 0.0) / static_cast<double>(values.size());
     }
 
-    double most(const std::vector<double>& values) { return *std::max_element(values.begin(), values.end()); }
+    double maximum(const std::vector<double>& values) { return *std::max_element(values.begin(), values.end()); }
 
     std::vector<double> inSeconds(const std::vector<Duration>& times)
     {
@@ -71,18 +71,18 @@
         return result;
     }
 
-    /// Reports one phase, all figures for one router.
+    /// Reports one phase; all figures are per router.
     void report(benchmark::State& state, const std::string& phase, const FleetCosts& costs)
     {
         const double span = asSeconds(costs.span);
         state.counters[phase + "/controlBytesPerSecond"] = mean(costs.controlBytes) / span;
-        state.counters[phase + "/controlBytesPerSecondMost"] = most(costs.controlBytes) / span;
+        state.counters[phase + "/controlBytesPerSecondMost"] = maximum(costs.controlBytes) / span;
         state.counters[phase + "/gossipBytesPerSecond"] = mean(costs.gossipBytes) / span;
         state.counters[phase + "/coreFraction"] = mean(inSeconds(costs.processorTime)) / span;
-        state.counters[phase + "/coreFractionMost"] = most(inSeconds(costs.processorTime)) / span;
+        state.counters[phase + "/coreFractionMost"] = maximum(inSeconds(costs.processorTime)) / span;
     }
 
-    /// Reports each kind of event and message of a phase, for one router.
+    /// Reports each kind of event and message of a phase, per router.
     void reportKinds(benchmark::State& state, const FleetSize& size, const FleetCosts& costs)
     {
         const double routerSeconds = asSeconds(costs.span) * static_cast<double>(size.routers);
@@ -106,7 +106,7 @@
         return info.uordblks + info.hblkhd;
     }
 
-    /// The steady state at the size to design for, scaled down to so many routers.
+    /// The steady state at the size designed for, scaled to the given number of routers.
     void steady(benchmark::State& state)
     {
         FleetSize size = FleetSize::scaled(static_cast<std::size_t>(state.range(0)));
@@ -130,7 +130,7 @@
             report(state, "steady", costs);
             reportKinds(state, size, costs);
             state.counters["statusMicroseconds"] = asSeconds(fleet.statusTime()) * 1e6;
-            state.counters["cellsOwnedMost"] = static_cast<double>(fleet.cellsOwnedMost());
+            state.counters["cellsOwnedMost"] = static_cast<double>(fleet.maxCellsOwned());
             state.counters["requestsHeld"] = static_cast<double>(fleet.runningPerRouter());
             state.counters["linksPerRouter"]
                 = 2 * static_cast<double>(fleet.linksUp()) / static_cast<double>(size.routers);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Processor time of one change of configuration and of one router's death, for each other router.
+    /// Processor time that one configuration change and one router failure cost each other router.
     void changes(benchmark::State& state)
     {
         const FleetSize size = FleetSize::scaled(static_cast<std::size_t>(state.range(0)));
@@ -165,35 +165,35 @@
         }
     }
 
-    /// Reports the busiest five seconds and the time until all that run see only each other.
+    /// Reports the busiest five-second window and the time until all running routers see only each other.
     void reportPeak(
         benchmark::State& state, const std::string& name, RoutingFleet& fleet, Duration span, std::size_t aliveAfter)
     {
         constexpr Duration window = 5s;
         double bytes = 0;
-        double bytesMost = 0;
+        double maxBytes = 0;
         double core = 0;
-        double coreMost = 0;
+        double maxCore = 0;
         double known = 0;
         for (Duration passed {}; passed < span; passed += window) {
             fleet.reset();
             fleet.run(window);
             const FleetCosts costs = fleet.costs();
             bytes = std::max(bytes, mean(costs.controlBytes) / asSeconds(window));
-            bytesMost = std::max(bytesMost, most(costs.controlBytes) / asSeconds(window));
+            maxBytes = std::max(maxBytes, maximum(costs.controlBytes) / asSeconds(window));
             core = std::max(core, mean(inSeconds(costs.processorTime)) / asSeconds(window));
-            coreMost = std::max(coreMost, most(inSeconds(costs.processorTime)) / asSeconds(window));
+            maxCore = std::max(maxCore, maximum(inSeconds(costs.processorTime)) / asSeconds(window));
             if (known == 0 && fleet.everyoneSees(aliveAfter))
                 known = asSeconds(passed + window);
         }
         state.counters[name + "/controlBytesPerSecond"] = bytes;
-        state.counters[name + "/controlBytesPerSecondMost"] = bytesMost;
+        state.counters[name + "/controlBytesPerSecondMost"] = maxBytes;
         state.counters[name + "/coreFraction"] = core;
-        state.counters[name + "/coreFractionMost"] = coreMost;
+        state.counters[name + "/coreFractionMost"] = maxCore;
         state.counters[name + "/knownWithinSeconds"] = known;
     }
 
-    /// Under load an availability zone vanishes.
+    /// An availability zone fails under load.
     void zoneLoss(benchmark::State& state)
     {
         const FleetSize size = FleetSize::scaled(static_cast<std::size_t>(state.range(0)));
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Under load the two regions lose each other, and find each other again.
+    /// Under load the network between two regions is partitioned and later heals.
     void regionCut(benchmark::State& state)
     {
         const FleetSize size = FleetSize::scaled(static_cast<std::size_t>(state.range(0)));
--- a/bench/RoutingFleet.cpp
+++ b/bench/RoutingFleet.cpp
@@ -17,20 +17,22 @@
     constexpr Duration networkDelay = 1ms;
     constexpr Duration tickInterval = 10ms;
     constexpr Duration logInterval = 1500ms;
-    constexpr Duration processFreshness = 4s; ///< As the router process sets it; the log is read each 1.5 s.
+    constexpr Duration processFreshness = 4s; ///< As the router process sets it; it reads the log every 1.5 s.
     constexpr Duration progressInterval = 1s;
     constexpr Duration pingInterval = 2s;
     constexpr Duration idleClose = 30s;
-    constexpr Duration silenceNoticed = 4s; ///< Two seconds until the ping, two without an answer.
+    constexpr Duration silenceDetectionDelay = 4s; ///< Two seconds until the ping and two more without an answer.
     constexpr std::size_t frameHeader = 9;
     constexpr std::size_t frameBytes = 16384;
     constexpr std::size_t pingBytes = 17;
     constexpr std::size_t udpHeader = 28;
-    constexpr double backloggedPart = 0.1;
-    constexpr double backloggedShare = 0.4; ///< Of all slots.
-    constexpr double waitingPart = 0.2; ///< Of its running requests that a backlogged customer has waiting beside.
+    constexpr double backloggedFraction = 0.1;
+    constexpr double backloggedShare = 0.4; ///< Fraction of all slots.
+    /// Waiting requests of a backlogged customer, relative to its running requests.
+    constexpr double waitingFraction = 0.2;
     constexpr std::size_t clientsPerCustomer = 8;
-    constexpr double shortestRequest = 0.207; ///< Of the mean, as is the longest; evenly drawn in the logarithm.
+    /// Relative to the mean, as is the longest; lengths are drawn log-uniformly.
+    constexpr double shortestRequest = 0.207;
     constexpr double longestRequest = 2.816;
 
     const std::string salt = "00112233445566778899aabbccddeeff";
@@ -60,12 +62,12 @@
 
 FleetSize FleetSize::scaled(std::size_t routers)
 {
-    const auto part = static_cast<double>(routers) / 370;
+    const auto scale = static_cast<double>(routers) / 370;
     FleetSize size;
     size.routers = routers;
-    size.targets = static_cast<std::size_t>(std::ceil(660 * part));
-    size.customers = std::max<std::size_t>(2 * size.pools, static_cast<std::size_t>(std::ceil(1100 * part)));
-    size.requestsPerSecond = 2900 * part;
+    size.targets = static_cast<std::size_t>(std::ceil(660 * scale));
+    size.customers = std::max<std::size_t>(2 * size.pools, static_cast<std::size_t>(std::ceil(1100 * scale)));
+    size.requestsPerSecond = 2900 * scale;
     return size;
 }
 
@@ -89,7 +91,7 @@
         m_byVm[settings.life.vm.value] = n;
         node.core = routing::RouterCore::make(settings, std::make_unique<SeededRandom>(n + 1));
     }
-    // Reading the thread's clock is a system call; it must not count as work of the core.
+    // Reading the thread's clock is a system call whose cost must not be attributed to the core.
     constexpr int readings = 20000;
     const Duration before = threadTime();
     for (int n = 0; n < readings; ++n)
@@ -119,7 +121,7 @@
 
 void RoutingFleet::declare()
 {
-    // A token takes the same time however full a target is, so these slots make exactly the wanted rate.
+    // A token takes the same time however full a target is, so this number of slots yields exactly the requested rate.
     const double concurrent
         = m_size.requestsPerSecond * m_size.tokensPerRequest * std::chrono::duration<double>(m_size.tokenTime).count();
     const auto slots = static_cast<std::uint32_t>(std::lround(concurrent / static_cast<double>(m_size.targets)));
@@ -135,9 +137,9 @@
         append(config::Kind::Service, poolName(n), { { "pool", poolName(n) }, { "mode", "engine" } });
 }
 
-void RoutingFleet::at(TimePoint when, std::function<void()> what)
+void RoutingFleet::at(TimePoint when, std::function<void()> callback)
 {
-    m_queue.push({ when, ++m_order, std::move(what) });
+    m_queue.push({ when, ++m_order, std::move(callback) });
 }
 
 void RoutingFleet::run(Duration time)
@@ -147,7 +149,7 @@
         Pending next = std::move(const_cast<Pending&>(m_queue.top()));
         m_queue.pop();
         m_now = std::max(m_now, next.at);
-        next.what();
+        next.callback();
     }
     m_now = until;
 }
@@ -183,7 +185,7 @@
     if (!node.core)
         return;
     routing::LogRead read;
-    read.asked = m_now - logInterval;
+    read.startedAt = m_now - logInterval;
     const LogOffset next = node.core->nextLogOffset();
     if (next <= m_log.size())
         read.records.assign(m_log.begin() + static_cast<std::ptrdiff_t>(next - 1), m_log.end());
@@ -222,7 +224,7 @@
 void RoutingFleet::startLoad()
 {
     const auto backlogged = std::max<std::size_t>(
-        m_size.pools, static_cast<std::size_t>(backloggedPart * static_cast<double>(m_size.customers)));
+        m_size.pools, static_cast<std::size_t>(backloggedFraction * static_cast<double>(m_size.customers)));
     const double concurrent
         = m_size.requestsPerSecond * m_size.tokensPerRequest * std::chrono::duration<double>(m_size.tokenTime).count();
     const double each = concurrent * backloggedShare / static_cast<double>(backlogged);
@@ -234,14 +236,14 @@
             arrivals(n, others);
             continue;
         }
-        const auto open = static_cast<std::size_t>(std::ceil(each * (1 + waitingPart)));
+        const auto open = static_cast<std::size_t>(std::ceil(each * (1 + waitingFraction)));
         const std::size_t pool = poolOf(n);
         std::vector<std::size_t> entries;
         for (std::size_t k = 0; k < clientsPerCustomer; ++k)
             entries.push_back(entryFor(pool));
         for (std::size_t k = 0; k < open; ++k) {
             const std::size_t node = entries[k % entries.size()];
-            // Spread over the mean run, else all of them would end and begin together for minutes.
+            // Spread over the mean run time; otherwise all of them would start and end together for minutes.
             at(m_now + seconds(draw(0, meanRun)), [this, n, pool, node] { sendRequest({ n, pool, true }, node); });
         }
     }
@@ -252,11 +254,11 @@
     return (customer + m_random.below(m_size.poolsPerCustomer)) % m_size.pools;
 }
 
-// As GET /v1/locate?service=... answers: owners of the service's pool first.
+// Mirrors GET /v1/locate?service=...: owners of the service's pool first.
 std::size_t RoutingFleet::entryFor(std::size_t pool)
 {
     const auto any = [this] { return static_cast<std::size_t>(m_random.below(m_nodes.size())); };
-    if (!m_snapshot || m_random.fraction() < m_size.anywhere)
+    if (!m_snapshot || m_random.fraction() < m_size.nonOwnerFraction)
         return any();
     for (const routing::PoolOwners& it : m_snapshot->poolOwners) {
         if (it.pool.value == poolName(pool) && !it.owners.empty())
@@ -428,7 +430,7 @@
 {
     Link& it = link(from, to);
     Direction& sending = it.directions[from > to];
-    // A prompt message after a lazy one has brought the time forward: this is the lazy one's entry.
+    // An urgent message after a lazy one has moved the flush forward; this is the timer of the lazy one.
     if (!sending.flushAt || *sending.flushAt > m_now)
         return;
     sending.flushAt.reset();
@@ -466,19 +468,19 @@
     });
 }
 
-void RoutingFleet::breakLinks(const std::function<bool(std::size_t, std::size_t)>& which)
+void RoutingFleet::breakLinks(const std::function<bool(std::size_t, std::size_t)>& predicate)
 {
     for (auto& [key, it] : m_links) {
         const std::size_t low = key / m_nodes.size();
         const std::size_t high = key % m_nodes.size();
-        if (!it.isUp || !which(low, high))
+        if (!it.isUp || !predicate(low, high))
             continue;
         it.isUp = false;
         for (Direction& direction : it.directions) {
             direction.waiting.clear();
             direction.flushAt.reset();
         }
-        at(m_now + silenceNoticed, [this, low = low, high = high] {
+        at(m_now + silenceDetectionDelay, [this, low = low, high = high] {
             deliver(low, routing::PeerDown { m_nodes[high].settings.life }, "peer-down");
             deliver(high, routing::PeerDown { m_nodes[low].settings.life }, "peer-down");
         });
@@ -496,7 +498,7 @@
     for (const std::size_t n : gone)
         m_nodes[n].core.reset();
     breakLinks([&](std::size_t one, std::size_t other) { return gone.contains(one) || gone.contains(other); });
-    // Callers notice and send to another router.
+    // Callers detect the failure and send to another router.
     for (const auto& [id, caller] : lost) {
         m_callers.erase(id);
         m_running.erase(id);
@@ -569,7 +571,7 @@
     return (threadTime() - before) / rounds;
 }
 
-std::size_t RoutingFleet::cellsOwnedMost() const
+std::size_t RoutingFleet::maxCellsOwned() const
 {
     std::size_t most = 0;
     for (const Node& it : m_nodes) {
--- a/bench/RoutingFleet.h
+++ b/bench/RoutingFleet.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// Many router cores under one virtual clock with a fake network, fake targets and fake callers, for measuring what
-/// each event and message costs by size of the fleet. Nothing fails here unless a benchmark says so; failures are the
-/// matter of tests/FleetFake.h.
+/// Many router cores under one virtual clock with a fake network, fake targets and fake callers, for measuring the cost
+/// of each event and message by fleet size. Nothing fails here unless a benchmark requests it; failures are tested with
+/// tests/FleetFake.h.
 
 #include "peer/Traffic.h"
 
@@ -22,7 +22,7 @@
 
 namespace sagechute::bench {
 
-/// What a fleet consists of and what it is asked to do.
+/// The composition of a fleet and its load.
 struct FleetSize {
     std::size_t routers = 8;
     std::size_t zones = 6;
@@ -30,32 +30,33 @@
     std::size_t targets = 14;
     std::size_t customers = 24;
     std::size_t poolsPerCustomer = 1;
-    double requestsPerSecond = 63; ///< As many as the targets' slots can run.
-    double tokensPerRequest = 483; ///< Mean; a token takes tokenTime.
+    double requestsPerSecond = 63; ///< As many as the targets' slots can serve.
+    double tokensPerRequest = 483; ///< Mean; each token takes tokenTime.
     Duration tokenTime = std::chrono::milliseconds(50);
     Duration summaryInterval = std::chrono::seconds(2);
-    double anywhere = 0.1; ///< Part of the requests that do not arrive at an owner of their pool, as those of sessions.
+    /// Fraction of the requests that do not arrive at an owner of their pool, such as those of sessions.
+    double nonOwnerFraction = 0.1;
 
-    /// @return the size to design for, scaled to a number of routers.
+    /// @return the size designed for, scaled to a number of routers.
     static FleetSize scaled(std::size_t routers);
 };
 
-/// Processor time, number and payload of one kind of event or message, over all routers.
+/// Processor time, count and payload of one kind of event or message, summed over all routers.
 struct KindCost {
     std::uint64_t count = 0;
-    std::uint64_t bytes = 0; ///< Payload, of messages only.
+    std::uint64_t bytes = 0; ///< Payload; messages only.
     Duration time {};
 };
 
-/// What was counted since the last reset().
+/// Figures counted since the last reset().
 struct FleetCosts {
     Duration span {};
     std::map<std::string, KindCost, std::less<>> kinds;
-    std::vector<double> controlBytes; ///< Peer streams and gossip, both directions, headers included; by router.
-    std::vector<double> gossipBytes; ///< The part of gossip in it.
+    std::vector<double> controlBytes; ///< Peer streams and gossip in both directions, including headers; by router.
+    std::vector<double> gossipBytes; ///< The share of gossip in controlBytes.
     std::vector<Duration> processorTime; ///< Of all events, by router.
     std::uint64_t connectionsOpened = 0;
-    std::uint64_t segments = 0; ///< Writes of the message streams.
+    std::uint64_t segments = 0; ///< Writes to the message streams.
     std::uint64_t requestsEnded = 0;
     double tokens = 0;
     std::uint64_t refused = 0;
@@ -63,28 +64,28 @@
 
 class RoutingFleet {
 public:
-    /// @param connectionBytes what opening and closing one connection between routers costs each end.
+    /// @param connectionBytes cost of opening and closing one connection between routers, for each end.
     RoutingFleet(const FleetSize&, double connectionBytes);
 
-    /// Lets the cores find each other, and then gives them the configuration.
-    /// @return virtual time until every router knew every other.
+    /// Lets the cores discover each other, then gives them the configuration.
+    /// @return the virtual time until every router knew every other one.
     Duration boot();
 
-    /// A tenth of the customers keep more requests in the fleet than their share of the slots, the others send now and
-    /// then.
+    /// A tenth of the customers always have more requests in the fleet than their share of the slots; the others send
+    /// occasionally.
     void startLoad();
 
     void run(Duration);
     void reset();
     FleetCosts costs() const;
 
-    /// A change of one customer's weight, as the log brings it to all routers.
+    /// Changes the weight of one customer through the log of all routers.
     void changeConfiguration();
 
-    /// The VMs of these routers vanish without a word.
+    /// The VMs of these routers fail without notice.
     void kill(const std::vector<std::size_t>& routers);
 
-    /// No traffic passes between the zones below @p zone and the others.
+    /// Blocks all traffic between the zones below @p zone and the others.
     void cutBetweenZones(std::size_t zone);
     void healZones();
 
@@ -92,8 +93,8 @@
     bool everyoneSees(std::size_t alive) const;
     std::size_t aliveSeenBy(std::size_t router) const { return m_nodes[router].core->status().members.size(); }
     bool runs(std::size_t router) const { return m_nodes[router].core != nullptr; }
-    Duration statusTime() const; ///< Processor time of one call of status().
-    std::size_t cellsOwnedMost() const;
+    Duration statusTime() const; ///< Processor time of one call to status().
+    std::size_t maxCellsOwned() const;
     std::size_t runningPerRouter() const;
     std::size_t linksUp() const;
 
@@ -112,22 +113,22 @@
         std::string_view kind;
         std::string bytes;
     };
-    /// What waits in one direction of a link, and when it leaves.
+    /// Messages queued in one direction of a link, and when they are flushed.
     struct Direction {
         std::vector<Message> waiting;
         std::optional<TimePoint> flushAt;
-        TimePoint lastReceived {}; ///< By the end that sends in this direction.
+        TimePoint lastReceived {}; ///< At the end that sends in this direction.
         std::optional<peer::TrafficEstimate> estimate;
     };
     struct Link {
         bool isUp = false;
         TimePoint lastMessage {};
-        Direction directions[2]; ///< From the lower node, from the higher node.
+        Direction directions[2]; ///< From the lower-numbered node, from the higher-numbered node.
     };
     struct Pending {
         TimePoint at;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> callback;
         bool operator>(const Pending& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
     };
     struct Running {
@@ -139,7 +140,7 @@
     struct Caller {
         std::size_t customer = 0;
         std::size_t pool = 0;
-        bool closed = false; ///< Sends its next request when one has ended.
+        bool closed = false; ///< Closed loop: sends the next request when the previous one has ended.
     };
 
     void declare();
@@ -159,7 +160,7 @@
     Link& link(std::size_t one, std::size_t other);
     void flush(std::size_t from, std::size_t to);
     void open(std::size_t from, std::size_t to, Link&);
-    void breakLinks(const std::function<bool(std::size_t, std::size_t)>& which);
+    void breakLinks(const std::function<bool(std::size_t, std::size_t)>& predicate);
     double draw(double least, double most);
 
     void act(std::size_t, routing::SendMessage&);
@@ -187,7 +188,8 @@
     std::unordered_map<std::uint64_t, Link> m_links;
     std::vector<config::LogRecord> m_log;
     std::map<std::string, LogOffset> m_versions;
-    std::shared_ptr<const routing::RoutingSnapshot> m_snapshot; ///< The latest of any router: what callers are told.
+    /// The latest snapshot of any router, used to choose the entry router.
+    std::shared_ptr<const routing::RoutingSnapshot> m_snapshot;
     std::unordered_map<RequestId, Caller> m_callers;
     std::unordered_map<RequestId, Running> m_running;
     std::optional<std::size_t> m_cutZone;
--- a/include/sagechute/Routing.h
+++ b/include/sagechute/Routing.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The router's decisions: typed events and the present time go in, typed actions come out. No I/O, no threads, no
-/// clock.
+/// The router's decision core. It consumes typed events together with the current time and returns typed actions. It
+/// performs no I/O, starts no threads and reads no clock.
 
 #include <sagechute/Config.h>
 #include <sagechute/Delivery.h>
@@ -22,69 +22,74 @@
 struct RouterSettings {
     RouterLife life;
     ZoneId zone;
-    std::string gossipAddress; ///< "ADDRESS:PORT", as are the next two.
+    std::string gossipAddress; ///< "ADDRESS:PORT", as for the next two fields.
     std::string peerAddress;
     std::string callerAddress;
-    std::vector<std::string> seeds; ///< Gossip addresses to join by.
+    std::vector<std::string> seeds; ///< Gossip addresses of routers to join through.
     scheduling::Policy policy = scheduling::Policy::Cells;
-    std::uint32_t cellsPerPool = 0; ///< 0: what the fleet resource says.
-    std::uint32_t windowSlack = 1; ///< Requests sent to a target beyond its slots, to hide the turnaround of a slot.
+    std::uint32_t cellsPerPool = 0; ///< 0: use the value of the fleet resource.
+    /// Requests sent to a target beyond its slots, to hide the turnaround time of a slot.
+    std::uint32_t windowSlack = 1;
     membership::GossipSettings gossip;
     scheduling::CellSettings cells;
     delivery::OutcomeMemorySettings outcomes;
     delivery::RetrySettings retries;
     Duration summaryInterval = std::chrono::seconds(2); ///< Between two summaries of a pool to the same peers.
-    Duration idleNoticeInterval = std::chrono::milliseconds(50); ///< Least time between notices of free slots.
-    Duration progressInterval = std::chrono::seconds(1); ///< Between two reports of a running request's service.
-    /// Without a sign of the log or of a majority for longer, a router starts nothing. A target that leaves gets new
-    /// work for at most this long from a router that is cut off at that moment; replaces gossip.freshness.
+    Duration freeSlotNoticeInterval = std::chrono::milliseconds(50); ///< Minimum time between free-slot notices.
+    /// Minimum time between progress reports for one running request.
+    Duration progressInterval = std::chrono::seconds(1);
+    /// A router that has had contact with neither the log nor a majority of its peers for longer than this starts no
+    /// new work. It therefore also bounds how long an isolated router can keep sending new work to a target that is
+    /// leaving. Overrides gossip.freshness.
     Duration freshness = std::chrono::milliseconds(2500);
-    Duration lagMost = std::chrono::seconds(1); ///< The same for a router that knows of newer configuration elsewhere
-                                                ///< and can't get it.
-    Duration regainTime = std::chrono::seconds(1); ///< After a pause, until the requests that wait are refused.
-    Duration pauseLimit
-        = std::chrono::seconds(1); ///< A longer silence of its own clock means that the process was paused.
-    Duration ownerSilence = std::chrono::seconds(2); ///< A router whose stream is down for longer has lost its grants.
-    Duration relayDelay
-        = std::chrono::milliseconds(200); ///< How far behind a peer's configuration before asking the peer.
-    Duration stopMost = std::chrono::minutes(10); ///< Longest wait for requests in flight at a planned stop.
+    /// The same limit for a router that knows of newer configuration on a peer but cannot obtain it.
+    Duration maxConfigLag = std::chrono::seconds(1);
+    /// After a process pause, how long waiting requests are kept before they are refused.
+    Duration pauseGracePeriod = std::chrono::seconds(1);
+    /// A longer gap between two events means that the process was paused.
+    Duration pauseThreshold = std::chrono::seconds(1);
+    /// A router whose stream has been down for longer loses its grants.
+    Duration ownerTimeout = std::chrono::seconds(2);
+    /// How long to lag behind a peer's configuration before requesting it.
+    Duration configPullDelay = std::chrono::milliseconds(200);
+    Duration maxStopTime = std::chrono::minutes(10); ///< Maximum wait for requests in flight during a planned stop.
 };
 
-/// A request whose body has been read and whose caller is known and admitted.
+/// A request whose body has been read and whose caller is authenticated and admitted.
 struct RequestArrived {
     RequestId id;
     CustomerId customer;
     ServiceId service;
-    std::optional<bool> repeatable; ///< Absent: the service's default.
+    std::optional<bool> repeatable; ///< Absent: the service's default applies.
     bool streamed = false;
     std::optional<delivery::ResendKey> resend;
-    bool forwarded = false; ///< Another router handed it over.
+    bool forwarded = false; ///< Forwarded by another router.
     Cost hint = 0;
     std::vector<std::uint64_t> prefixes;
     std::optional<Duration> deadlineIn;
     std::uint64_t bodyHash = 0;
 };
 
-struct CallerGone {
+struct CallerDisconnected {
     RequestId id;
 };
 
-/// How one attempt at a target, or one hand-over to another router, ended.
+/// How an attempt at a target, or the forwarding of a request to another router, ended.
 enum class AttemptEnd {
     Completed,
-    NothingSent, ///< Certain: no byte left for the target.
-    Broken, ///< The connection broke or the answer was cut.
-    Silent, ///< Nothing came for too long.
-    Crossed, ///< The answer belongs to another request, or lacks a part.
-    Rejected, ///< The target answered that it would not.
-    NotResumable, ///< The target no longer knows the stream.
+    NothingSent, ///< Certain: no byte was sent to the target.
+    Broken, ///< The connection broke or the answer was truncated.
+    Stalled, ///< No data arrived within the time limit.
+    Crossed, ///< The answer belongs to another request or is missing a part.
+    Rejected, ///< The target declined to run the request.
+    NotResumable, ///< The target no longer has the stream.
 };
 
 struct AttemptEnded {
     RequestId id;
     std::uint32_t attempt = 0;
     AttemptEnd end = AttemptEnd::Completed;
-    std::uint64_t nextPosition = 0; ///< Positions already relayed to the caller.
+    std::uint64_t nextPosition = 0; ///< Stream position up to which the answer has been relayed to the caller.
     Cost cost = 0; ///< Service received, as far as known.
     delivery::KeptAnswer answer;
     std::string usage; ///< The target's usage document at the end of a stream.
@@ -114,9 +119,9 @@
     std::string bytes;
 };
 
-/// The log answered a read.
+/// A successful read of the log.
 struct LogRead {
-    TimePoint asked {}; ///< When the read began: what it shows is at least that fresh.
+    TimePoint startedAt {}; ///< When the read began; the records are at least as recent as this.
     std::vector<config::LogRecord> records;
 };
 
@@ -124,9 +129,9 @@
     std::string snapshot;
 };
 
-struct LogFailed { };
+struct LogReadFailed { };
 
-/// A target's cache event, or a gap in them.
+/// A prefix entered or left a target's cache.
 struct PrefixChanged {
     TargetId target;
     std::uint64_t prefix = 0;
@@ -140,11 +145,11 @@
 struct StopRequested { };
 struct Tick { };
 
-using Event
-    = std::variant<RequestArrived, CallerGone, AttemptEnded, AttemptProgressed, PeerMessageReceived, PeerUp, PeerDown,
-        DatagramReceived, LogRead, LogSnapshotRead, LogFailed, PrefixChanged, PrefixesUnknown, StopRequested, Tick>;
+using Event = std::variant<RequestArrived, CallerDisconnected, AttemptEnded, AttemptProgressed, PeerMessageReceived,
+    PeerUp, PeerDown, DatagramReceived, LogRead, LogSnapshotRead, LogReadFailed, PrefixChanged, PrefixesUnknown,
+    StopRequested, Tick>;
 
-/// Purposes by which control bytes are counted.
+/// Categories by which control traffic is accounted.
 enum class Purpose { Scheduling, Ledger, Configuration, Handover };
 
 std::string_view toString(Purpose);
@@ -153,8 +158,8 @@
     VmId to;
     std::string address;
     Purpose purpose = Purpose::Scheduling;
-    std::string_view kind; ///< Of the message, for metrics.
-    bool lazy = false; ///< May wait a little for other messages to the same router.
+    std::string_view kind; ///< Message kind, for metrics.
+    bool lazy = false; ///< May be delayed briefly so that it is sent together with other messages to the same router.
     std::string bytes;
 };
 
@@ -167,7 +172,7 @@
     VmId vm;
 };
 
-/// Send the request to a target.
+/// Sends the request to a target.
 struct StartAttempt {
     RequestId id;
     std::uint32_t attempt = 0;
@@ -181,7 +186,7 @@
     std::chrono::milliseconds answerLimit {};
 };
 
-/// Hand the request to the router that holds its session.
+/// Forwards the request to the router that holds its session.
 struct StartForward {
     RequestId id;
     std::uint32_t attempt = 0;
@@ -189,20 +194,20 @@
     std::string address;
 };
 
-/// End the attempt under way. @c tellTarget also cancels it at the engine.
+/// Ends the current attempt. @c notifyTarget also cancels it at the engine.
 struct CancelAttempt {
     RequestId id;
-    bool tellTarget = false;
+    bool notifyTarget = false;
     std::string address;
 };
 
-/// Give the caller a whole answer.
+/// Gives the caller a complete answer.
 struct Answer {
     RequestId id;
     delivery::KeptAnswer answer;
 };
 
-/// Tell the caller that its request ended otherwise than in a complete answer.
+/// Tells the caller that its request ended without a complete answer.
 struct Refuse {
     RequestId id;
     Outcome outcome = Outcome::NotRun;
@@ -210,7 +215,7 @@
     std::optional<std::chrono::seconds> retryAfter;
 };
 
-/// End a streamed answer whose tokens have been relayed.
+/// Ends a streamed answer whose tokens have been relayed.
 struct EndStream {
     RequestId id;
     Outcome outcome = Outcome::Completed;
@@ -218,27 +223,27 @@
     std::string usage; ///< The target's usage document.
 };
 
-/// A router as callers are told of it.
+/// A router as reported to callers by /v1/locate.
 struct LocateEntry {
     RouterLife life;
     ZoneId zone;
     std::string address;
 };
 
-/// Who owns cells of a pool: requests that arrive there need no message between routers to be scheduled.
+/// The owners of a pool's cells. Requests that arrive at an owner can be scheduled without messages between routers.
 struct PoolOwners {
     PoolId pool;
-    std::vector<VmId> owners; ///< Sorted, each once.
+    std::vector<VmId> owners; ///< Sorted, without duplicates.
 };
 
-/// What the HTTP threads read, by RCU, on each request.
+/// The state that HTTP threads read through RCU on each request.
 struct RoutingSnapshot {
     std::shared_ptr<const config::ConfigView> config;
-    std::vector<LocateEntry> routers; ///< Usable ones, by VM.
+    std::vector<LocateEntry> routers; ///< Routers that accept requests, ordered by VM.
     std::vector<PoolOwners> poolOwners;
     RouterLife self;
     bool draining = false;
-    std::string notReady; ///< Why requests can't be taken now; empty when they can.
+    std::string notReady; ///< Why requests cannot be accepted now; empty if they can.
 };
 
 struct Publish {
@@ -256,7 +261,7 @@
 struct PoolStatus {
     PoolId pool;
     std::uint32_t cellsOwned = 0;
-    std::uint32_t waitingHere = 0; ///< Requests that this router holds and that wait.
+    std::uint32_t waitingHere = 0; ///< Waiting requests held by this router.
     std::uint32_t runningHere = 0;
     std::uint32_t slotsOwned = 0;
     std::uint32_t freeSlotsOwned = 0;
@@ -274,26 +279,26 @@
     bool fresh = false;
     std::uint32_t requests = 0;
     std::size_t outcomeEntries = 0;
-    std::uint64_t undecodable = 0; ///< Messages from peers that did not decode.
+    std::uint64_t undecodable = 0; ///< Messages from peers that could not be decoded.
     std::vector<membership::Member> members;
     std::vector<PoolStatus> pools;
 };
 
-/// The decisions of one router.
+/// The decision core of one router.
 class RouterCore {
 public:
     static std::unique_ptr<RouterCore> make(const RouterSettings&, std::unique_ptr<Random>);
     virtual ~RouterCore() = default;
 
-    /// @param now never less than in an earlier call.
-    /// @return what to do, in order.
+    /// @param now must not be earlier than in a previous call.
+    /// @return the actions to perform, in order.
     virtual Actions handle(TimePoint now, Event) = 0;
 
-    /// @return the log offset from which the next read should start.
+    /// @return the log offset at which the next read should start.
     virtual LogOffset nextLogOffset() const = 0;
     virtual RouterStatus status() const = 0;
 
-    /// @return whether this router owns the cell of a target, and so follows the target's cache events.
+    /// @return the targets whose cells this router owns and whose cache events it therefore follows.
     virtual std::vector<config::Target> ownedTargets() const = 0;
 };
 
--- a/src/routing/ConfigRelay.cpp
+++ b/src/routing/ConfigRelay.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-    /// Records given to a peer in one message; a peer that is further behind gets a snapshot.
-    constexpr std::size_t mostRelayedBytes = 256 << 10;
+    /// Maximum size of the records sent to a peer in one message; a peer that is further behind gets a snapshot.
+    constexpr std::size_t maxRelayedBytes = 256 << 10;
 
 } // namespace
 
@@ -28,23 +28,23 @@
         m_behindSince.reset();
         return;
     }
-    if (!m_behindSince || m_behindAt != have) {
+    if (!m_behindSince || m_offsetWhenBehind != have) {
         m_behindSince = now;
-        m_behindAt = have;
-        m_nextAsk = now + m_settings.relayDelay;
+        m_offsetWhenBehind = have;
+        m_nextPull = now + m_settings.configPullDelay;
     }
-    if (now < m_nextAsk)
+    if (now < m_nextPull)
         return;
-    m_nextAsk = now + m_settings.relayDelay; // Then perhaps somebody else.
+    m_nextPull = now + m_settings.configPullDelay; // The next attempt may pick another peer.
     m_outbox.message(
         m_view, ahead[random.below(ahead.size())], Purpose::Configuration, wire::ConfigPullMessage { have });
 }
 
-void ConfigRelay::pulled(const config::ConfigReplica& replica, const VmId& from, LogOffset after)
+void ConfigRelay::answerPull(const config::ConfigReplica& replica, const VmId& from, LogOffset after)
 {
     if (replica.offset() <= after)
         return;
-    if (auto records = replica.recordsAfter(after, mostRelayedBytes); records && !records->empty())
+    if (auto records = replica.recordsAfter(after, maxRelayedBytes); records && !records->empty())
         m_outbox.message(m_view, from, Purpose::Configuration, wire::ConfigRecordsMessage { std::move(*records) });
     else
         m_outbox.message(m_view, from, Purpose::Configuration, wire::ConfigSnapshotMessage { replica.snapshot() });
--- a/src/routing/ConfigRelay.h
+++ b/src/routing/ConfigRelay.h
@@ -1,32 +1,32 @@
 #pragma once
 
 /// @file
-/// Configuration passed on between routers, for those that the log does not reach.
+/// Passes configuration between routers, for those that cannot reach the log.
 
 #include "routing/Outbox.h"
 
 namespace sagechute::routing {
 
-/// Asks a peer that is ahead for what is missing, and answers such questions. A restarted router comes up during an
-/// outage of the log this way, and one that is cut off from the log still learns of a leaving target.
+/// Requests missing configuration from a peer that is ahead, and answers such requests. This allows a router to restart
+/// during an outage of the log, and a router without access to the log to learn that a target is leaving.
 class ConfigRelay {
 public:
     ConfigRelay(const RouterSettings&, const membership::MembershipView&, Outbox&);
 
-    /// Asks, when this replica has been behind a peer for the relay delay.
+    /// Sends a pull request when this replica has been behind a peer for configPullDelay.
     void tick(TimePoint now, LogOffset have, Random&);
 
-    /// @return since when a peer has been ahead without this replica getting any further.
+    /// @return since when a peer has been ahead without any progress of this replica.
     std::optional<TimePoint> behindSince() const { return m_behindSince; }
-    void pulled(const config::ConfigReplica&, const VmId& from, LogOffset after);
+    void answerPull(const config::ConfigReplica&, const VmId& from, LogOffset after);
 
 private:
     const RouterSettings& m_settings;
     const membership::MembershipView& m_view;
     Outbox& m_outbox;
-    LogOffset m_behindAt = 0; ///< Our offset when we first saw a peer ahead.
+    LogOffset m_offsetWhenBehind = 0; ///< Local offset when a peer was first seen ahead.
     std::optional<TimePoint> m_behindSince;
-    TimePoint m_nextAsk {};
+    TimePoint m_nextPull {};
 };
 
 } // namespace sagechute::routing
--- a/src/routing/Core.cpp
+++ b/src/routing/Core.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    /// Targets that one cell takes when the fleet resource leaves the number of cells open. Small cells spread the
-    /// messages of a pool over many owners; docs/design/fairness.md has the slope.
+    /// Targets per cell when the fleet resource does not set the number of cells. Small cells spread the messages of a
+    /// pool over many owners; docs/design/fairness.md shows how the cost grows.
     constexpr std::size_t targetsPerCell = 2;
 
     constexpr Duration outcomeExpiryInterval = std::chrono::seconds(1);
@@ -62,45 +62,45 @@
 
 Actions Core::handle(TimePoint now, Event event)
 {
-    noticePause(now);
+    detectPause(now);
     m_now = now;
     std::visit([&](auto& it) { on(now, it); }, event);
-    followChanges(now);
+    applyChanges(now);
     return m_outbox.take();
 }
 
-// A process that was stopped for a while goes on as if no time had passed: it would use grants and configuration from
-// before. Its own clock shows the gap, since a tick comes every few tens of milliseconds.
-void Core::noticePause(TimePoint now)
+// A process that was suspended resumes as if no time had passed and would act on outdated grants and configuration. The
+// gap shows in its own clock, since a tick arrives every few tens of milliseconds.
+void Core::detectPause(TimePoint now)
 {
-    if (m_lastHandled != TimePoint::min() && now - m_lastHandled > m_settings.pauseLimit)
+    if (m_lastHandled != TimePoint::min() && now - m_lastHandled > m_settings.pauseThreshold)
         m_freshness.resumed(now);
     m_lastHandled = now;
 }
 
-void Core::followChanges(TimePoint now)
+void Core::applyChanges(TimePoint now)
 {
     const auto config = m_replica->view();
     if (config != m_config || m_gossip->view().version != m_viewVersion) {
         m_config = config;
         m_viewVersion = m_gossip->view().version;
-        rebuild(now);
+        rebuildPools(now);
     }
     for (auto& entry : m_pools)
-        entry.second->pump(now);
+        entry.second->placeAndGrant(now);
     publishIfChanged(now);
 }
 
-void Core::rebuild(TimePoint now)
+void Core::rebuildPools(TimePoint now)
 {
-    watchMembers(now);
+    applyMembershipChanges(now);
     const scheduling::CellMap map = buildCellMap();
     for (const PoolId& it : m_config->pools()) {
         auto& pool = m_pools[it];
         if (!pool)
             pool = std::make_unique<PoolRouter>(it, m_settings, m_gossip->view(), m_requests, m_outbox, *this);
     }
-    // A pool without resources stays until its last request has ended; it then costs nothing.
+    // A pool without resources is kept until its last request has ended; after that it costs nothing.
     m_poolOwners.clear();
     for (auto& entry : m_pools) {
         entry.second->reconfigure(now, *m_config, map);
@@ -108,7 +108,7 @@
     }
 }
 
-void Core::watchMembers(TimePoint now)
+void Core::applyMembershipChanges(TimePoint now)
 {
     for (const membership::Member& it : m_gossip->view().members) {
         const VmId& vm = it.summary.life.vm;
@@ -126,13 +126,13 @@
         state->second = it.state;
         if (it.state == membership::MemberState::Alive) {
             for (auto& entry : m_pools)
-                entry.second->routerBack(vm);
+                entry.second->routerRecovered(vm);
             continue;
         }
-        const bool forGood = it.state != membership::MemberState::Suspect;
+        const bool permanently = it.state != membership::MemberState::Suspect;
         for (auto& entry : m_pools)
-            entry.second->dropRouter(now, it.summary.life, forGood);
-        if (forGood) {
+            entry.second->dropRouter(now, it.summary.life, permanently);
+        if (permanently) {
             m_links.erase(vm);
             m_outbox.add(ForgetPeer { vm });
             m_outbox.streamDown(vm);
@@ -153,7 +153,8 @@
 {
     std::vector<scheduling::OwnerCandidate> routers;
     for (const membership::Member& it : m_gossip->view().members) {
-        if (it.state == membership::MemberState::Alive && !it.summary.draining && !drains(it.summary.life.vm))
+        if (it.state == membership::MemberState::Alive && !it.summary.draining
+            && !isDeclaredDraining(it.summary.life.vm))
             routers.push_back({ it.summary.life.vm, it.summary.zone });
     }
     std::vector<scheduling::PoolCells> counts;
@@ -162,7 +163,7 @@
     return scheduling::CellMap::build(routers, counts);
 }
 
-bool Core::drains(const VmId& vm) const
+bool Core::isDeclaredDraining(const VmId& vm) const
 {
     const config::Vm* declared = m_config->findVm(vm);
     return declared && declared->drain;
@@ -170,7 +171,7 @@
 
 void Core::publishIfChanged(TimePoint now)
 {
-    const bool draining = m_stop.draining() || drains(m_settings.life.vm);
+    const bool draining = m_stop.draining() || isDeclaredDraining(m_settings.life.vm);
     const std::string_view notReady = notReadyReason(now);
     const bool same = m_published && m_published->config == m_config && m_published->draining == draining
         && m_published->notReady == notReady;
@@ -186,7 +187,7 @@
         snapshot->poolOwners = m_poolOwners;
     for (const membership::Member& it : m_gossip->view().members) {
         const VmId& vm = it.summary.life.vm;
-        const bool leaving = it.summary.draining || drains(vm) || (vm == m_settings.life.vm && draining);
+        const bool leaving = it.summary.draining || isDeclaredDraining(vm) || (vm == m_settings.life.vm && draining);
         if (it.state == membership::MemberState::Alive && !leaving)
             snapshot->routers.push_back({ it.summary.life, it.summary.zone, it.summary.callerAddress });
     }
@@ -221,7 +222,7 @@
 
 void Core::on(TimePoint now, LogRead& event)
 {
-    m_freshness.logRead(event.asked);
+    m_freshness.logRead(event.startedAt);
     m_replica->apply(event.records);
     m_gossip->updateSelf(m_stop.draining(), m_replica->offset(), m_freshness.logReachable(now),
         static_cast<std::uint32_t>(m_requests.size()));
@@ -233,7 +234,7 @@
         ++m_undecodable;
 }
 
-void Core::on(TimePoint, LogFailed&) { }
+void Core::on(TimePoint, LogReadFailed&) { }
 
 void Core::on(TimePoint, PrefixChanged& event)
 {
@@ -260,21 +261,21 @@
         static_cast<std::uint32_t>(m_requests.size()));
     sendDatagrams(m_gossip->tick(now));
     m_relay.tick(now, m_replica->offset(), *m_random);
-    m_freshness.behind(m_relay.behindSince());
+    m_freshness.setBehindSince(m_relay.behindSince());
     for (std::uint64_t serial : m_requests.pastDeadline(now)) {
         if (Request* request = m_requests.findSerial(serial))
-            giveUp(now, *request, ErrorKind::DeadlineExceeded, "the deadline passed while the request waited",
+            failRequest(now, *request, ErrorKind::DeadlineExceeded, "the deadline passed while the request waited",
                 "send it again with a later deadline");
     }
     for (std::uint64_t serial : m_requests.backoffEnded(now)) {
         if (Request* request = m_requests.findSerial(serial))
             backoffEnded(now, *request);
     }
-    if (m_freshness.cutOff(now, *m_gossip))
+    if (m_freshness.isCutOff(now, *m_gossip))
         refuseAllWaiting(now);
     probeLinks(now);
     for (auto& [vm, link] : m_links) {
-        if (!link.down || now - link.since < m_settings.ownerSilence)
+        if (!link.down || now - link.since < m_settings.ownerTimeout)
             continue;
         link.since = now;
         for (auto& entry : m_pools)
--- a/src/routing/Core.h
+++ b/src/routing/Core.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The router's decisions put together. Split over several sources: Core.cpp (frame), CoreRequests.cpp (a request's
-/// life), CorePeers.cpp (messages).
+/// Implementation of RouterCore, split over three source files: Core.cpp (event dispatch, membership, configuration and
+/// status), CoreRequests.cpp (request lifecycle) and CorePeers.cpp (messages from other routers).
 
 #include "routing/ConfigRelay.h"
 #include "routing/Freshness.h"
@@ -22,9 +22,9 @@
     std::vector<config::Target> ownedTargets() const override;
 
 private:
-    // One handler for each kind of event.
+    // One handler for each type of event.
     void on(TimePoint now, RequestArrived&);
-    void on(TimePoint now, CallerGone&);
+    void on(TimePoint now, CallerDisconnected&);
     void on(TimePoint now, AttemptEnded&);
     void on(TimePoint now, AttemptProgressed&);
     void on(TimePoint now, PeerMessageReceived&);
@@ -33,13 +33,13 @@
     void on(TimePoint now, DatagramReceived&);
     void on(TimePoint now, LogRead&);
     void on(TimePoint now, LogSnapshotRead&);
-    void on(TimePoint now, LogFailed&);
+    void on(TimePoint now, LogReadFailed&);
     void on(TimePoint now, PrefixChanged&);
     void on(TimePoint now, PrefixesUnknown&);
     void on(TimePoint now, StopRequested&);
     void on(TimePoint now, Tick&);
 
-    // One handler for each kind of message from another router.
+    // One handler for each type of message from another router.
     void receive(TimePoint now, const RouterLife&, wire::OfferMessage&);
     void receive(TimePoint now, const RouterLife&, wire::WithdrawMessage&);
     void receive(TimePoint now, const RouterLife&, wire::GrantMessage&);
@@ -62,7 +62,7 @@
     bool onMayStart(TimePoint) const override;
     bool onReachable(const VmId&) const override;
 
-    // A request's life.
+    // Request lifecycle.
     absl::Status checkArrival(TimePoint now, const RequestArrived&) const;
     bool routeBySession(TimePoint now, Request&);
     bool lookUpOutcome(TimePoint now, Request&);
@@ -70,33 +70,33 @@
     void backoffEnded(TimePoint now, Request&);
     void admit(TimePoint now, Request&);
     void beginAttempt(Request&, std::optional<std::uint64_t> resumeFrom);
-    void completed(TimePoint now, Request&, AttemptEnded&);
+    void attemptCompleted(TimePoint now, Request&, AttemptEnded&);
     void forwardEnded(TimePoint now, Request&, AttemptEnded&);
-    void failed(TimePoint now, Request&, const AttemptEnded&);
+    void attemptFailed(TimePoint now, Request&, const AttemptEnded&);
     bool resume(Request&, const AttemptEnded&);
     bool retry(TimePoint now, Request&, AttemptEnd);
-    void giveUp(TimePoint now, Request&, ErrorKind, std::string_view message, std::string_view remedy);
+    void failRequest(TimePoint now, Request&, ErrorKind, std::string_view message, std::string_view remedy);
     void refuse(TimePoint now, Request&, Outcome, const absl::Status&, std::optional<std::chrono::seconds> retryAfter);
     void answer(TimePoint now, Request&, delivery::KeptAnswer, std::string usage);
-    void forget(const RequestId&);
+    void discard(const RequestId&);
     void refuseAllWaiting(TimePoint now);
-    bool remembers(const Request&) const;
+    bool recordsOutcome(const Request&) const;
 
-    // Frame.
-    void noticePause(TimePoint now);
-    void followChanges(TimePoint now);
-    void rebuild(TimePoint now);
-    void watchMembers(TimePoint now);
+    // Membership, configuration and publishing.
+    void detectPause(TimePoint now);
+    void applyChanges(TimePoint now);
+    void rebuildPools(TimePoint now);
+    void applyMembershipChanges(TimePoint now);
     void probeLinks(TimePoint now);
     void publishIfChanged(TimePoint now);
-    bool drains(const VmId&) const;
+    bool isDeclaredDraining(const VmId&) const;
     std::string_view notReadyReason(TimePoint now) const;
     scheduling::CellMap buildCellMap() const;
     std::uint32_t cellCount(const PoolId&) const;
     PoolRouter* pool(const PoolId&);
     PoolRouter* poolOwning(wire::CellKey);
     PoolRouter* poolOfSerial(std::uint64_t serial);
-    void tellInherited(const RouterLife&);
+    void announceInherited(const RouterLife&);
     void sendDatagrams(std::vector<membership::Datagram>);
 
     struct PeerLink {
@@ -126,7 +126,7 @@
     std::map<VmId, membership::MemberState> m_memberStates;
     std::map<VmId, RouterLife> m_memberLives;
     std::map<RouterLife, Handover> m_handovers;
-    std::map<RequestId, std::vector<RequestId>> m_attached; ///< By the request whose end they wait for.
+    std::map<RequestId, std::vector<RequestId>> m_coalesced; ///< Keyed by the request whose end they wait for.
     std::vector<PoolOwners> m_poolOwners;
     std::shared_ptr<const RoutingSnapshot> m_published;
     std::uint64_t m_viewVersion = 0;
--- a/src/routing/CorePeers.cpp
+++ b/src/routing/CorePeers.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What other routers say.
+/// Handling of messages from other routers and of their connections.
 
 #include "routing/Core.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-    /// What waits for a peer that can't be reached stays in its queue: a probe has to be rare.
+    /// Messages for an unreachable peer stay in its send queue, so probes have to be rare.
     constexpr Duration linkProbeInterval = std::chrono::seconds(10);
 
 } // namespace
@@ -24,8 +24,8 @@
     m_outbox.streamUp(event.peer.vm);
     PeerLink& link = m_links[event.peer.vm];
     const bool wasDown = std::exchange(link, PeerLink {}).down;
-    // A stream that comes up for the first time, or after an orderly end, has lost nothing. Resynchronising it would
-    // make its owner forget the grants that are on their way.
+    // A stream that comes up for the first time, or after an orderly close, has lost nothing. Resynchronising it would
+    // make the owner discard grants that are in transit.
     if (!wasDown)
         return;
     for (auto& entry : m_pools)
@@ -131,8 +131,8 @@
 }
 
 // The transport connects only when there is something to send, and nothing is sent to a router whose stream is down.
-// Without this both ends would wait for the other one's message for as long as they live: one would notice a router
-// that keeps to its own share of the targets although all is well again.
+// Without a probe both ends would wait for each other indefinitely, and the router would stay on its own static share
+// of the targets after the network has recovered.
 void Core::probeLinks(TimePoint now)
 {
     for (auto& [vm, link] : m_links) {
@@ -153,12 +153,12 @@
 void Core::receive(TimePoint, const RouterLife& from, wire::LedgerPullMessage& message)
 {
     if (PoolRouter* it = pool(message.pool))
-        it->ledgerPulled(from.vm);
+        it->answerLedgerPull(from.vm);
 }
 
 void Core::receive(TimePoint, const RouterLife& from, wire::ConfigPullMessage& message)
 {
-    m_relay.pulled(*m_replica, from.vm, message.after);
+    m_relay.answerPull(*m_replica, from.vm, message.after);
 }
 
 void Core::receive(TimePoint, const RouterLife&, wire::ConfigRecordsMessage& message)
@@ -172,8 +172,8 @@
         ++m_undecodable;
 }
 
-// The stopping router exits once it hears that everything was taken. Saying so after a part only would lose the rest,
-// and with it the promise that a resend is not run again.
+// The stopping router exits once the import is confirmed. Confirming before all parts have arrived would lose the rest,
+// and a resend could then be run a second time.
 void Core::receive(TimePoint now, const RouterLife& from, wire::OutcomePartMessage& message)
 {
     if (!m_memory->importPart(now, message.bytes).ok()) {
@@ -186,10 +186,10 @@
     m_handovers.erase(from);
     m_outbox.message(m_gossip->view(), from.vm, Purpose::Handover, wire::OutcomesTakenMessage {});
     for (const delivery::InheritedLife& inherited : m_memory->inherited())
-        tellInherited(inherited.life);
+        announceInherited(inherited.life);
 }
 
-void Core::tellInherited(const RouterLife& life)
+void Core::announceInherited(const RouterLife& life)
 {
     for (const membership::Member& it : m_gossip->view().members) {
         if (it.summary.life.vm != m_settings.life.vm && it.state == membership::MemberState::Alive)
@@ -197,11 +197,14 @@
     }
 }
 
-void Core::receive(TimePoint, const RouterLife& from, wire::OutcomesTakenMessage&) { m_stop.taken(from.vm); }
+void Core::receive(TimePoint, const RouterLife& from, wire::OutcomesTakenMessage&)
+{
+    m_stop.handoverConfirmed(from.vm);
+}
 
 void Core::receive(TimePoint, const RouterLife& from, wire::InheritedMessage& message)
 {
-    m_sessions.inheritedBy(message.life, from.vm);
+    m_sessions.recordSuccessor(message.life, from.vm);
 }
 
 } // namespace sagechute::routing
--- a/src/routing/CoreRequests.cpp
+++ b/src/routing/CoreRequests.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// A request's life: arrival, attempts, retries, and the one end that its caller is told.
+/// Request lifecycle: arrival, attempts, retries, and the single final outcome that is reported to the caller.
 
 #include "routing/Core.h"
 
@@ -11,15 +11,15 @@
 
 namespace {
 
-    /// Tries to take a broken stream up again at the same engine.
-    constexpr std::uint32_t mostResumes = 2;
+    /// Maximum number of times a broken stream is resumed at the same engine.
+    constexpr std::uint32_t maxResumes = 2;
 
-    constexpr seconds retrySoon { 1 };
+    constexpr seconds shortRetryAfter { 1 };
 
-    /// How long and how often a request is offered to the holder of its session while no byte gets through: longer than
-    /// a planned stop needs to hand over its memory, and for the others to hear of it.
-    constexpr Duration forwardPatience = seconds(5);
-    constexpr Duration forwardPause = std::chrono::milliseconds(100);
+    /// How long and how often forwarding to the session's holder is retried while nothing could be sent. The limit
+    /// exceeds the time that a planned stop needs to hand over its outcome memory and to announce the successor.
+    constexpr Duration forwardRetryTimeout = seconds(5);
+    constexpr Duration forwardRetryInterval = std::chrono::milliseconds(100);
 
     wire::TargetHealth healthOf(AttemptEnd end)
     {
@@ -42,23 +42,23 @@
             return "the target could not be reached";
         case AttemptEnd::Broken:
             return "the connection to the target broke";
-        case AttemptEnd::Silent:
-            return "the target fell silent";
+        case AttemptEnd::Stalled:
+            return "the target sent no data within the time limit";
         case AttemptEnd::Crossed:
             return "the target gave the answer of another request";
         case AttemptEnd::Rejected:
             return "the target refused the request";
         case AttemptEnd::NotResumable:
-            return "the target no longer knows the broken answer";
+            return "the target cannot resume the broken stream";
         }
         return "the attempt failed";
     }
 
-    /// What a resend gets when the first send's answer was too large to remember.
+    /// The answer to a resend when the answer to the first send was too large to store.
     delivery::KeptAnswer answerNotKept(const RequestId& id)
     {
         const absl::Status status
-            = makeError(ErrorKind::OutcomeLost, "the request ran to its end, but its answer was too large to keep",
+            = makeError(ErrorKind::OutcomeLost, "the request completed, but its answer was too large to store",
                 "check its effect; do not send it as a new request");
         return { Outcome::Unknown, httpStatus(ErrorKind::OutcomeLost), "application/json", errorDocument(status).dump(),
             toString(id) };
@@ -70,7 +70,7 @@
 {
     if (m_stop.refusesNew())
         return makeError(
-            ErrorKind::Draining, "this router is stopping", "ask /v1/locate of another address and send it there");
+            ErrorKind::Draining, "this router is stopping", "get another address from /v1/locate and send it there");
     const config::Service* service = m_config->findService(arrival.service);
     if (!service && !m_replica->offset())
         return makeError(
@@ -78,12 +78,12 @@
     if (!service)
         return makeError(ErrorKind::NotFound, "there is no service of that name",
             "check the name in the path, or ask an operator to declare it");
-    if (m_freshness.cutOff(now, *m_gossip))
+    if (m_freshness.isCutOff(now, *m_gossip))
         return makeError(ErrorKind::CutOff, "this router is cut off from the log and the other routers",
             "send it to another address from /v1/locate");
     auto it = m_pools.find(service->pool);
     if (it == m_pools.end() || !it->second->hasTargets())
-        return makeError(ErrorKind::NoTarget, "no target of the service takes work",
+        return makeError(ErrorKind::NoTarget, "no target of the service accepts requests",
             "send it again later, or ask an operator about the pool");
     return absl::OkStatus();
 }
@@ -100,29 +100,29 @@
         request.mode = service->mode;
         request.repeatable = request.arrival.repeatable.value_or(service->repeatable);
     } else {
-        // A router without configuration can't look the default up. Taking a numbered request for a repeatable one, it
-        // would answer "not run" to a resend of what ran elsewhere.
+        // Without configuration the service's default is unknown. Treating a request with a sequence number as
+        // repeatable would answer "not run" to a resend of a request that ran elsewhere.
         request.repeatable = request.arrival.repeatable.value_or(!request.arrival.resend);
     }
     Request& held = m_requests.add(std::move(request));
-    if (!remembers(held) || !routeBySession(now, held))
+    if (!recordsOutcome(held) || !routeBySession(now, held))
         admit(now, held);
 }
 
 void Core::admit(TimePoint now, Request& request)
 {
     if (absl::Status status = checkArrival(now, request.arrival); !status.ok()) {
-        refuse(now, request, Outcome::NotRun, status, retrySoon);
+        refuse(now, request, Outcome::NotRun, status, shortRetryAfter);
         return;
     }
     m_retries->firstAttempt(request.arrival.customer);
     pool(request.pool)->enqueue(request, false);
 }
 
-bool Core::remembers(const Request& request) const { return request.arrival.resend && !request.repeatable; }
+bool Core::recordsOutcome(const Request& request) const { return request.arrival.resend && !request.repeatable; }
 
-// Returns true when the request needs nothing more here. Whoever does not hold the session must not run the request,
-// and cannot say "not run" either: an earlier send may have run.
+// Returns true when the request needs no further handling here. A router that does not hold the session must not run
+// the request, and cannot answer "not run" either, since an earlier send may have run.
 bool Core::routeBySession(TimePoint now, Request& request)
 {
     const auto holder = delivery::sessionHolder(request.arrival.resend->session);
@@ -138,8 +138,8 @@
         return true;
     }
     refuse(now, request, Outcome::Unknown,
-        makeError(ErrorKind::OutcomeLost, "the router that held this session is gone",
-            "if the request was sent before, check its effect; if never, send it with a new session from /v1/locate"),
+        makeError(ErrorKind::OutcomeLost, "the router that held this session is no longer running",
+            "if the request was sent before, check its effect; otherwise send it with a new session from /v1/locate"),
         std::nullopt);
     return true;
 }
@@ -152,26 +152,26 @@
     case delivery::ResendVerdict::New:
         return false;
     case delivery::ResendVerdict::Running:
-        request.phase = RequestPhase::Attached;
-        m_requests.countDeadline(request, false);
-        m_attached[lookup.running.value_or(RequestId {})].push_back(request.id);
+        request.phase = RequestPhase::Coalesced;
+        m_requests.setDeadlineActive(request, false);
+        m_coalesced[lookup.running.value_or(RequestId {})].push_back(request.id);
         return true;
     case delivery::ResendVerdict::Ended: {
         const delivery::KeptAnswer kept = *lookup.answer;
         m_outbox.add(Answer { request.id, kept });
-        forget(request.id);
+        discard(request.id);
         return true;
     }
     case delivery::ResendVerdict::Forgotten:
         refuse(now, request, Outcome::Unknown,
-            makeError(ErrorKind::OutcomeLost, "the outcome of this number is no longer known",
+            makeError(ErrorKind::OutcomeLost, "the outcome for this sequence number is no longer known",
                 "check its effect before sending it as a new request"),
             std::nullopt);
         return true;
     case delivery::ResendVerdict::Different:
         refuse(now, request, Outcome::NotRun,
-            makeError(ErrorKind::Conflict, "this number was used in the session for another request",
-                "use a new number for each new request"),
+            makeError(ErrorKind::Conflict, "this sequence number was already used in the session for another request",
+                "use a new sequence number for each new request"),
             std::nullopt);
         return true;
     case delivery::ResendVerdict::Closed:
@@ -182,9 +182,9 @@
         return true;
     case delivery::ResendVerdict::Full:
         refuse(now, request, Outcome::NotRun,
-            makeError(ErrorKind::TooManyRequests, "too many requests that may not be repeated are under way here",
+            makeError(ErrorKind::TooManyRequests, "too many non-repeatable requests are in progress at this router",
                 "send it again shortly"),
-            retrySoon);
+            shortRetryAfter);
         return true;
     }
     return true;
@@ -193,29 +193,29 @@
 void Core::forward(Request& request, const SessionRoute& route)
 {
     request.phase = RequestPhase::Forwarded;
-    m_requests.countDeadline(request, false);
-    if (request.forwardUntil == TimePoint {})
-        request.forwardUntil = m_now + forwardPatience;
+    m_requests.setDeadlineActive(request, false);
+    if (request.forwardDeadline == TimePoint {})
+        request.forwardDeadline = m_now + forwardRetryTimeout;
     ++request.attempt;
     m_outbox.add(StartForward { request.id, request.attempt, route.forwardTo, route.address });
 }
 
 void Core::backoffEnded(TimePoint now, Request& request)
 {
-    if (!request.forwarding) {
+    if (!request.retryForward) {
         if (PoolRouter* owner = pool(request.pool))
             owner->enqueue(request, true);
         return;
     }
-    request.forwarding = false;
-    // The session may be held here by now, and the request may never have begun.
+    request.retryForward = false;
+    // The session may have moved to this router meanwhile, and the request may never have been started.
     if (!routeBySession(now, request))
         admit(now, request);
 }
 
 void Core::onGranted(TimePoint, Request& request)
 {
-    m_requests.countDeadline(request, false);
+    m_requests.setDeadlineActive(request, false);
     beginAttempt(request, std::nullopt);
 }
 
@@ -233,8 +233,7 @@
     action.address = request.targetAddress;
     action.mode = request.mode;
     action.streamed = request.arrival.streamed && request.mode == config::TargetMode::Engine;
-    // A pooled connection may have gone silent or been closed by the other end; a library may then send again by
-    // itself.
+    // A pooled connection may be dead or closed by the other end, and an HTTP library may then resend on its own.
     action.freshConnection = !request.repeatable || resumeFrom.has_value();
     action.resumeFrom = resumeFrom;
     const config::Service defaults;
@@ -243,7 +242,7 @@
     m_outbox.add(std::move(action));
 }
 
-void Core::on(TimePoint now, CallerGone& event)
+void Core::on(TimePoint now, CallerDisconnected& event)
 {
     Request* request = m_requests.find(event.id);
     if (!request)
@@ -251,8 +250,8 @@
     request->callerGone = true;
     if (request->phase == RequestPhase::Forwarded)
         return;
-    if (request->phase == RequestPhase::Attached) {
-        forget(event.id);
+    if (request->phase == RequestPhase::Coalesced) {
+        discard(event.id);
         return;
     }
     PoolRouter* owner = pool(request->pool);
@@ -263,13 +262,13 @@
             CancelAttempt { request->id, request->mode == config::TargetMode::Engine, request->targetAddress });
         owner->ended(now, *request, request->soFar, wire::TargetHealth::Good);
     } else {
-        if (m_attached.contains(request->id))
-            return; // A resend waits for this one's end.
+        if (m_coalesced.contains(request->id))
+            return; // A resend waits for the end of this request.
         owner->abandon(now, *request);
-        if (remembers(*request) && !request->everSent)
+        if (recordsOutcome(*request) && !request->mayHaveBeenSent)
             m_memory->endedNotRun(now, *request->arrival.resend, request->id);
     }
-    forget(event.id);
+    discard(event.id);
 }
 
 void Core::on(TimePoint now, AttemptProgressed& event)
@@ -290,16 +289,16 @@
     }
     if (request->phase != RequestPhase::Running)
         return;
-    request->relayed = std::max(request->relayed, event.nextPosition);
+    request->relayedPositions = std::max(request->relayedPositions, event.nextPosition);
     request->soFar = std::max(request->soFar, event.cost);
-    request->everSent |= event.end != AttemptEnd::NothingSent;
+    request->mayHaveBeenSent |= event.end != AttemptEnd::NothingSent;
     if (event.end == AttemptEnd::Completed)
-        completed(now, *request, event);
+        attemptCompleted(now, *request, event);
     else
-        failed(now, *request, event);
+        attemptFailed(now, *request, event);
 }
 
-void Core::completed(TimePoint now, Request& request, AttemptEnded& event)
+void Core::attemptCompleted(TimePoint now, Request& request, AttemptEnded& event)
 {
     pool(request.pool)->ended(now, request, event.cost, wire::TargetHealth::Good);
     event.answer.outcome = Outcome::Completed;
@@ -309,14 +308,14 @@
 
 void Core::answer(TimePoint now, Request& request, delivery::KeptAnswer kept, std::string usage)
 {
-    if (remembers(request))
+    if (recordsOutcome(request))
         m_memory->ended(now, *request.arrival.resend, kept.httpStatus ? kept : answerNotKept(request.id));
-    if (auto it = m_attached.find(request.id); it != m_attached.end()) {
+    if (auto it = m_coalesced.find(request.id); it != m_coalesced.end()) {
         for (const RequestId& waiting : it->second) {
             m_outbox.add(Answer { waiting, kept });
             m_requests.remove(waiting);
         }
-        m_attached.erase(it);
+        m_coalesced.erase(it);
     }
     const bool streamed = request.arrival.streamed && request.mode == config::TargetMode::Engine;
     if (streamed)
@@ -326,61 +325,61 @@
     m_requests.remove(request.id);
 }
 
-// The other router's word stands: its answer carries the outcome. Without an answer nobody here knows what became of
-// the request. But where no byte left, the holder may just be handing its memory to a successor, who will answer.
+// An answer from the other router carries the authoritative outcome. Without one the outcome is unknown here. If
+// nothing was sent, however, the holder may be handing its memory to a successor that will answer.
 void Core::forwardEnded(TimePoint now, Request& request, AttemptEnded& event)
 {
     if (event.end == AttemptEnd::Completed) {
         m_outbox.add(Answer { request.id, std::move(event.answer) });
-        forget(request.id);
+        discard(request.id);
         return;
     }
-    if (event.end == AttemptEnd::NothingSent && now < request.forwardUntil) {
+    if (event.end == AttemptEnd::NothingSent && now < request.forwardDeadline) {
         request.phase = RequestPhase::Backoff;
-        request.forwarding = true;
-        request.retryAt = now + forwardPause;
+        request.retryForward = true;
+        request.retryAt = now + forwardRetryInterval;
         return;
     }
     refuse(now, request, Outcome::Unknown,
         makeError(ErrorKind::OutcomeLost, "the router that holds this session did not answer",
-            "send the same request and number again to learn its outcome"),
-        retrySoon);
+            "resend the same request with the same sequence number to learn its outcome"),
+        shortRetryAfter);
 }
 
-void Core::failed(TimePoint now, Request& request, const AttemptEnded& event)
+void Core::attemptFailed(TimePoint now, Request& request, const AttemptEnded& event)
 {
     if (resume(request, event))
         return;
     PoolRouter* owner = pool(request.pool);
     owner->ended(now, request, request.soFar, healthOf(event.end));
-    if (event.end == AttemptEnd::Silent && request.repeatable && request.mode == config::TargetMode::Engine)
+    if (event.end == AttemptEnd::Stalled && request.repeatable && request.mode == config::TargetMode::Engine)
         m_outbox.add(CancelAttempt { request.id, true, request.targetAddress });
     if (retry(now, request, event.end))
         return;
-    giveUp(now, request, ErrorKind::TargetFailed, describe(event.end),
+    failRequest(now, request, ErrorKind::TargetFailed, describe(event.end),
         request.repeatable ? "send it again" : "check its effect before sending it again");
 }
 
-// Taking a stream up again runs nothing anew: the engine refuses a position of a stream that it does not know.
+// Resuming a stream never starts a second run: the engine rejects a position of a stream that it does not know.
 bool Core::resume(Request& request, const AttemptEnded& event)
 {
     const bool streamed = request.arrival.streamed && request.mode == config::TargetMode::Engine;
     const bool broken
-        = event.end == AttemptEnd::Broken || event.end == AttemptEnd::Silent || event.end == AttemptEnd::Crossed;
-    const bool retryable = request.repeatable && request.relayed == 0 && event.end != AttemptEnd::Broken;
-    if (!streamed || !broken || retryable || request.resumes >= mostResumes)
+        = event.end == AttemptEnd::Broken || event.end == AttemptEnd::Stalled || event.end == AttemptEnd::Crossed;
+    const bool retryable = request.repeatable && request.relayedPositions == 0 && event.end != AttemptEnd::Broken;
+    if (!streamed || !broken || retryable || request.resumes >= maxResumes)
         return false;
     ++request.resumes;
-    beginAttempt(request, request.relayed);
+    beginAttempt(request, request.relayedPositions);
     return true;
 }
 
 bool Core::retry(TimePoint now, Request& request, AttemptEnd end)
 {
-    // That nothing was sent is certain of this attempt only. One that takes up a broken stream and finds nobody says
-    // nothing about the run that broke: starting anew would run the request twice, or splice two answers.
-    const bool neverRan = end == AttemptEnd::NothingSent && !request.everSent;
-    const bool safe = neverRan || (request.repeatable && request.relayed == 0);
+    // NothingSent holds for this attempt only. A resume attempt that cannot connect says nothing about the run whose
+    // stream broke; starting over would run the request twice or splice two answers.
+    const bool neverRan = end == AttemptEnd::NothingSent && !request.mayHaveBeenSent;
+    const bool safe = neverRan || (request.repeatable && request.relayedPositions == 0);
     if (!safe || request.callerGone || !m_freshness.fresh(now, *m_gossip))
         return false;
     const auto delay = m_retries->takeRetry(request.arrival.customer, request.attempt, *m_random);
@@ -390,18 +389,20 @@
     request.phase = RequestPhase::Backoff;
     request.retryAt = now + *delay;
     request.soFar = 0;
-    m_requests.countDeadline(request, true);
+    m_requests.setDeadlineActive(request, true);
     return true;
 }
 
-void Core::giveUp(TimePoint now, Request& request, ErrorKind kind, std::string_view message, std::string_view remedy)
+void Core::failRequest(
+    TimePoint now, Request& request, ErrorKind kind, std::string_view message, std::string_view remedy)
 {
     Outcome outcome = Outcome::NotRun;
-    if (request.relayed > 0)
+    if (request.relayedPositions > 0)
         outcome = Outcome::Incomplete;
-    else if (request.everSent || request.forwarding) // An earlier send may have run where the session is held.
+    // With retryForward an earlier send may have run at the holder of the session.
+    else if (request.mayHaveBeenSent || request.retryForward)
         outcome = Outcome::Unknown;
-    refuse(now, request, outcome, makeError(kind, message, remedy), retrySoon);
+    refuse(now, request, outcome, makeError(kind, message, remedy), shortRetryAfter);
 }
 
 void Core::refuse(
@@ -409,8 +410,8 @@
 {
     if (PoolRouter* owner = pool(request.pool); owner && request.phase == RequestPhase::Offered)
         owner->abandon(now, request);
-    const bool mayHaveBegun = request.phase != RequestPhase::Forwarded && request.phase != RequestPhase::Attached;
-    if (remembers(request) && mayHaveBegun && errorKind(status) != ErrorKind::Conflict
+    const bool mayHaveBegun = request.phase != RequestPhase::Forwarded && request.phase != RequestPhase::Coalesced;
+    if (recordsOutcome(request) && mayHaveBegun && errorKind(status) != ErrorKind::Conflict
         && errorKind(status) != ErrorKind::OutcomeLost) {
         if (outcome == Outcome::NotRun)
             m_memory->endedNotRun(now, *request.arrival.resend, request.id);
@@ -419,29 +420,29 @@
                 { outcome, httpStatus(errorKind(status)), "application/json", errorDocument(status).dump(),
                     toString(request.id) });
     }
-    if (auto it = m_attached.find(request.id); it != m_attached.end()) {
+    if (auto it = m_coalesced.find(request.id); it != m_coalesced.end()) {
         for (const RequestId& waiting : it->second) {
             m_outbox.add(Refuse { waiting, outcome, status, retryAfter });
             m_requests.remove(waiting);
         }
-        m_attached.erase(it);
+        m_coalesced.erase(it);
     }
-    if (request.relayed > 0)
+    if (request.relayedPositions > 0)
         m_outbox.add(EndStream { request.id, outcome, status, {} });
     else
         m_outbox.add(Refuse { request.id, outcome, status, retryAfter });
     m_requests.remove(request.id);
 }
 
-void Core::forget(const RequestId& id)
+void Core::discard(const RequestId& id)
 {
-    for (auto& entry : m_attached)
+    for (auto& entry : m_coalesced)
         std::erase(entry.second, id);
     m_requests.remove(id);
 }
 
-// A router that is cut off can't know when it will be in touch again: those who wait are told at once, so that they can
-// go elsewhere.
+// An isolated router cannot know when it will regain contact, so callers are refused at once and can use another
+// router.
 void Core::refuseAllWaiting(TimePoint now)
 {
     for (std::uint64_t serial : m_requests.serials()) {
@@ -451,7 +452,7 @@
         const bool waits = request->phase == RequestPhase::Waiting || request->phase == RequestPhase::Offered
             || request->phase == RequestPhase::Backoff;
         if (waits)
-            giveUp(now, *request, ErrorKind::CutOff, "this router is cut off from the log and the other routers",
+            failRequest(now, *request, ErrorKind::CutOff, "this router is cut off from the log and the other routers",
                 "send it to another address from /v1/locate");
     }
 }
--- a/src/routing/Outbox.cpp
+++ b/src/routing/Outbox.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-    /// The end of a request frees a slot that the window's slack already covers, so it can ride with the next offer or
-    /// grant. A notice of free slots is a summary without customers, and is waited for.
+    /// The end of a request frees a slot that the window's slack already covers, so the settlement can be sent together
+    /// with the next offer or grant. A free-slot notice is a summary without customers; the receiver needs it at once.
     bool isLazy(const wire::Message& message)
     {
         if (const auto* summary = std::get_if<wire::SummaryMessage>(&message))
--- a/src/routing/Outbox.h
+++ b/src/routing/Outbox.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Collects the actions of one event.
+/// Collects the actions that result from one event.
 
 #include <sagechute/Routing.h>
 
@@ -14,9 +14,9 @@
 public:
     template <typename SomeAction> void add(SomeAction action) { m_actions.emplace_back(std::move(action)); }
 
-    /// Sends a message to a member, or to whoever has a stream to here. A router that has just started may get offers
-    /// of others before gossip has told it their addresses; its answers go back on the stream.
-    /// @return whether it could be sent at all.
+    /// Sends a message to a member, or to any router with a stream to this one. A router that has just started may
+    /// receive offers before gossip has told it the senders' addresses; it replies on the existing stream.
+    /// @return whether the message could be sent.
     bool message(const membership::MembershipView&, const VmId& to, Purpose, const wire::Message&);
 
     void streamUp(const VmId& vm) { m_streams.insert(vm); }
--- a/src/routing/PoolLedger.cpp
+++ b/src/routing/PoolLedger.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Exchange of service counters and cell digests between the routers of one pool.
+/// Exchange of service counters and cell digests between the routers of a pool.
 
 #include "routing/PoolRouter.h"
 
@@ -9,14 +9,14 @@
 
 namespace {
 
-    /// Every so many summaries all customers are told, for receivers that missed a change.
-    constexpr unsigned fullSummaryEvery = 10;
+    /// Every n-th summary covers all customers, for receivers that missed a change.
+    constexpr unsigned summariesPerFullSummary = 10;
 
-    /// Receivers of one summary at most: bounds the bytes at any fleet size.
-    constexpr std::size_t mostSummaryReceivers = 8;
+    /// Maximum number of receivers of a summary; bounds the traffic at any fleet size.
+    constexpr std::size_t maxSummaryReceivers = 8;
 
-    /// A router that has offered something within this time wants to know of the cells.
-    constexpr Duration offererMemory = std::chrono::seconds(3);
+    /// Routers that have sent an offer within this time are sent cell digests.
+    constexpr Duration offeringRouterMaxAge = std::chrono::seconds(3);
 
 } // namespace
 
@@ -28,8 +28,8 @@
     return result;
 }
 
-// The counters matter where grants are made: at the pool's owners, and at the next in line for this router's own cells,
-// so that the service charged here outlives this router.
+// The counters are needed where grants are made: by the owners in the pool, and by the next candidate for each cell of
+// this router, so that service charged here survives the loss of this router.
 std::vector<VmId> PoolRouter::ledgerReceivers() const
 {
     std::set<VmId> receivers;
@@ -39,22 +39,24 @@
         if (owners.size() > 1 && m_cells.contains(index))
             receivers.insert(owners[1]);
     }
-    return takeTurns(receivers);
+    return selectReceivers(receivers);
 }
 
-// Routers that only offer need to know where slots are free.
-std::vector<VmId> PoolRouter::digestReceivers(TimePoint now, const std::vector<VmId>& told) const
+// Routers that only send offers need to know where slots are free.
+std::vector<VmId> PoolRouter::digestReceivers(TimePoint now, const std::vector<VmId>& alreadyInformed) const
 {
     std::set<VmId> receivers;
-    for (const auto& [vm, since] : m_offerers) {
-        if (now - since <= offererMemory && std::find(told.begin(), told.end(), vm) == told.end())
+    for (const auto& [vm, since] : m_offeringRouters) {
+        if (now - since <= offeringRouterMaxAge
+            && std::find(alreadyInformed.begin(), alreadyInformed.end(), vm) == alreadyInformed.end())
             receivers.insert(vm);
     }
-    return takeTurns(receivers);
+    return selectReceivers(receivers);
 }
 
-// Beyond the fan-out the receivers take turns, so that each still hears of every owner within a few rounds.
-std::vector<VmId> PoolRouter::takeTurns(const std::set<VmId>& candidates) const
+// If there are more candidates than maxSummaryReceivers, they are served in rotation, so that each hears from every
+// owner within a few rounds.
+std::vector<VmId> PoolRouter::selectReceivers(const std::set<VmId>& candidates) const
 {
     std::vector<VmId> result;
     for (const VmId& it : candidates) {
@@ -62,26 +64,26 @@
         if (it != m_settings.life.vm && member && member->state == membership::MemberState::Alive)
             result.push_back(it);
     }
-    if (result.size() <= mostSummaryReceivers)
+    if (result.size() <= maxSummaryReceivers)
         return result;
-    const std::size_t first = (m_summariesSent * mostSummaryReceivers) % result.size();
+    const std::size_t first = (m_summariesSent * maxSummaryReceivers) % result.size();
     std::rotate(result.begin(), result.begin() + static_cast<std::ptrdiff_t>(first), result.end());
-    result.resize(mostSummaryReceivers);
+    result.resize(maxSummaryReceivers);
     return result;
 }
 
-// A router that has just become an owner may know nothing of what was served before.
-void PoolRouter::pullLedger()
+// A router that has just become an owner may lack the service counters from before.
+void PoolRouter::requestLedger()
 {
     if (m_cells.empty()) {
-        m_ledgerPulled = false;
+        m_ledgerRequested = false;
         return;
     }
     for (const auto& entry : m_owners) {
         const VmId& owner = entry.second.empty() ? m_settings.life.vm : entry.second.front();
-        if (m_ledgerPulled || owner == m_settings.life.vm)
+        if (m_ledgerRequested || owner == m_settings.life.vm)
             continue;
-        m_ledgerPulled = true;
+        m_ledgerRequested = true;
         send(owner, Purpose::Ledger, wire::LedgerPullMessage { m_pool });
     }
 }
@@ -90,12 +92,12 @@
 {
     if (!usesCells())
         return;
-    pullLedger();
+    requestLedger();
     const std::vector<VmId> owners = ledgerReceivers();
     const std::vector<VmId> others = digestReceivers(now, owners);
     if (owners.empty() && others.empty())
         return;
-    const bool full = m_summariesSent % fullSummaryEvery == 0;
+    const bool full = m_summariesSent % summariesPerFullSummary == 0;
     scheduling::PoolSummary summary = m_ledger->summarize(full);
     summary.cells = digests();
     ++m_summariesSent;
@@ -111,11 +113,11 @@
         send(it, Purpose::Ledger, wire::SummaryMessage { summary });
 }
 
-// Between two summaries a cell may run dry while work waits in another. Telling its owner at once keeps slots from
-// idling for up to a whole summary interval.
-void PoolRouter::noticeIdle(TimePoint now)
+// Between two summaries a cell may become idle while work waits in another one. Notifying that cell's owner at once
+// keeps slots from idling for up to a whole summary interval.
+void PoolRouter::notifyFreeSlots(TimePoint now)
 {
-    if (now < m_nextIdleNotice || m_remoteCells.empty())
+    if (now < m_nextFreeSlotNotice || m_remoteCells.empty())
         return;
     const std::vector<scheduling::CellDigest> own = digests();
     const bool idle
@@ -127,11 +129,11 @@
         if (!cell.digest.waiting || cell.owner != ownerOf(scheduling::CellId { m_pool, index }))
             continue;
         receivers.insert(cell.owner);
-        cell.digest.waiting = 0; // Told once; a later summary says whether work still waits there.
+        cell.digest.waiting = 0; // Notify only once; a later summary tells whether work still waits there.
     }
     if (receivers.empty())
         return;
-    m_nextIdleNotice = now + m_settings.idleNoticeInterval;
+    m_nextFreeSlotNotice = now + m_settings.freeSlotNoticeInterval;
     scheduling::PoolSummary notice;
     notice.pool = m_pool;
     notice.life = m_settings.life;
@@ -144,7 +146,7 @@
 {
     if (!usesCells())
         return;
-    // A notice of free slots carries no counters and no sequence number of its own.
+    // A free-slot notice carries neither counters nor a sequence number of its own.
     if (!summary.customers.empty() || summary.full)
         m_ledger->absorb(summary);
     for (const scheduling::CellDigest& it : summary.cells) {
@@ -154,10 +156,10 @@
         learn(now, it);
     }
     if (!summary.cells.empty())
-        m_nextMove = std::min(m_nextMove, now);
+        m_nextRebalance = std::min(m_nextRebalance, now);
 }
 
-void PoolRouter::ledgerPulled(const VmId& from)
+void PoolRouter::answerLedgerPull(const VmId& from)
 {
     for (const scheduling::PoolSummary& it : m_ledger->others())
         send(from, Purpose::Ledger, wire::SummaryMessage { it });
--- a/src/routing/PoolOffers.cpp
+++ b/src/routing/PoolOffers.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-    constexpr Duration moveInterval = milliseconds(100);
+    constexpr Duration rebalanceInterval = milliseconds(100);
 
     scheduling::Offer localOffer(const Request& request, std::vector<TargetId> avoid)
     {
@@ -39,14 +39,14 @@
 
 } // namespace
 
-void PoolRouter::pump(TimePoint now)
+void PoolRouter::placeAndGrant(TimePoint now)
 {
     placeWaiting(now);
     for (auto& [index, cell] : m_cells)
         grantFrom(now, *cell, SlotSource { CellId { m_pool, index }, m_settings.life.vm, false });
     grantFrom(now, *m_local, SlotSource { {}, m_settings.life.vm, true });
     placeWaiting(now);
-    noticeIdle(now);
+    notifyFreeSlots(now);
 }
 
 void PoolRouter::offerTo(TimePoint now, Request& request, const SlotSource& source)
@@ -67,16 +67,16 @@
 void PoolRouter::sendOffer(TimePoint now, const Request& request, const SlotSource& source)
 {
     if (CellScheduler* scheduler = schedulerOf(source)) {
-        scheduler->offer(now, localOffer(request, avoidAt(source, request)));
+        scheduler->offer(now, localOffer(request, targetsToAvoid(source, request)));
         return;
     }
-    if (m_unsynced.erase(source.cell.index))
+    if (m_unsyncedCells.erase(source.cell.index))
         sendResync(source.cell, source.owner);
-    m_told.insert({ source.cell.index, source.owner });
-    send(source.owner, Purpose::Scheduling, offerMessage(now, request, source.cell, avoidAt(source, request)));
+    m_contactedOwners.insert({ source.cell.index, source.owner });
+    send(source.owner, Purpose::Scheduling, offerMessage(now, request, source.cell, targetsToAvoid(source, request)));
 }
 
-void PoolRouter::withdrawFrom(TimePoint now, const Request& request, const SlotSource& source)
+void PoolRouter::withdrawOffer(TimePoint now, const Request& request, const SlotSource& source)
 {
     if (CellScheduler* scheduler = schedulerOf(source))
         scheduler->withdraw(now, request.id);
@@ -85,7 +85,7 @@
             source.owner, Purpose::Scheduling, wire::WithdrawMessage { wire::cellKey(source.cell), request.id.serial });
 }
 
-void PoolRouter::forgetOffer(Request& request, const SlotSource& source)
+void PoolRouter::removeOffer(Request& request, const SlotSource& source)
 {
     if (!std::erase(request.offers, source))
         return;
@@ -95,37 +95,37 @@
     m_placeable.insert(request.arrival.customer);
     if (source.local)
         return;
-    countDown(queue.offeredAt, source.cell.index);
-    countDown(m_cellLoad, source.cell.index);
+    decrementCount(queue.offeredAt, source.cell.index);
+    decrementCount(m_cellLoad, source.cell.index);
 }
 
-void PoolRouter::takeBack(TimePoint now, Request& request, const SlotSource* granted)
+void PoolRouter::withdrawOffers(TimePoint now, Request& request, const SlotSource* granted)
 {
     const std::vector<SlotSource> offers = request.offers;
     for (const SlotSource& it : offers) {
         if (!granted || it != *granted)
-            withdrawFrom(now, request, it);
-        forgetOffer(request, it);
+            withdrawOffer(now, request, it);
+        removeOffer(request, it);
     }
 }
 
-// Whoever had the offer no longer knows it. Offered again at once, it might meet the same refusal, in a loop as fast as
-// the network: with @p later the next round of tick() places it.
-void PoolRouter::loseOffer(Request& request, const SlotSource& source, bool later)
+// The receiver of the offer no longer has it. Offering again at once could meet the same refusal, in a loop at network
+// speed; @p deferPlacement leaves the request for the next round of tick().
+void PoolRouter::requeueOffer(Request& request, const SlotSource& source, bool deferPlacement)
 {
     if (request.phase != RequestPhase::Offered
         || std::find(request.offers.begin(), request.offers.end(), source) == request.offers.end())
         return;
-    forgetOffer(request, source);
+    removeOffer(request, source);
     if (!request.offers.empty())
         return;
     request.phase = RequestPhase::Waiting;
     m_queues[request.arrival.customer].waiting.push_front(request.id.serial);
-    if (later)
+    if (deferPlacement)
         m_placeable.erase(request.arrival.customer);
 }
 
-void PoolRouter::countDown(std::map<std::uint32_t, std::uint32_t>& counts, std::uint32_t cell)
+void PoolRouter::decrementCount(std::map<std::uint32_t, std::uint32_t>& counts, std::uint32_t cell)
 {
     const auto it = counts.find(cell);
     if (it != counts.end() && --it->second == 0)
@@ -136,16 +136,16 @@
 {
     if (!m_host.mayStart(now))
         return;
-    // A slot whose grant could not be given is free again: it goes to the next in line at once.
+    // A slot whose grant could not be delivered is free again and goes to the next request in line at once.
     bool again = true;
     while (again) {
         again = false;
         for (const scheduling::Grant& grant : scheduler.schedule(now))
-            again |= !giveGrant(now, scheduler, source, grant);
+            again |= !deliverGrant(now, scheduler, source, grant);
     }
 }
 
-bool PoolRouter::giveGrant(
+bool PoolRouter::deliverGrant(
     TimePoint now, CellScheduler& scheduler, const SlotSource& source, const scheduling::Grant& grant)
 {
     if (grant.request.origin == m_settings.life) {
@@ -156,22 +156,22 @@
         }
         scheduler.decline(now, grant.request);
         if (request)
-            loseOffer(*request, source, true);
+            requeueOffer(*request, source, true);
         return false;
     }
     // While the stream is down the grant would be lost, and its slot with it until the stream is up again. The same
-    // holds for a router whose address is not known yet. It offers anew when it is back.
+    // holds for a router whose address is not known yet. It sends its offers again once it is back.
     const VmId& holder = grant.request.origin.vm;
     const auto expiresIn = duration_cast<milliseconds>(grant.expires - now);
     const wire::GrantMessage message { wire::cellKey(source.cell), grant.request.serial, grant.target, grant.charged,
         expiresIn };
     if (!m_host.reachable(holder) || !send(holder, Purpose::Scheduling, message)) {
         scheduler.decline(now, grant.request);
-        m_dropped.insert(holder);
+        m_droppedRouters.insert(holder);
         return false;
     }
-    // The stream either delivers the grant or breaks, and a break ends in a resynchronisation: no confirmation is
-    // needed.
+    // No confirmation is needed: the stream either delivers the grant or breaks, and a break leads to a
+    // resynchronisation.
     scheduler.started(now, grant.request);
     return true;
 }
@@ -181,15 +181,15 @@
     const bool waits = request.phase == RequestPhase::Waiting || request.phase == RequestPhase::Offered;
     if (!waits || !m_serving.contains(target) || !m_host.mayStart(now))
         return false;
-    takeBack(now, request, &source);
+    withdrawOffers(now, request, &source);
     m_placeable.insert(request.arrival.customer);
     request.phase = RequestPhase::Running;
     request.source = source;
     request.target = target;
     request.charged = charged;
     request.soFar = 0;
-    request.progressTold = now;
-    request.soFarTold = 0;
+    request.progressReportedAt = now;
+    request.soFarReported = 0;
     m_running.insert(request.id.serial);
     if (!source.local)
         ++m_cellLoad[source.cell.index];
@@ -204,7 +204,7 @@
         send(from.vm, Purpose::Scheduling, wire::NotOwnerMessage { message.cell, message.serial });
         return;
     }
-    m_offerers[from.vm] = now;
+    m_offeringRouters[from.vm] = now;
     scheduling::Offer offer;
     offer.request = RequestId { from, message.serial };
     offer.customer = message.customer;
@@ -230,14 +230,14 @@
     const bool used = here && request->phase == RequestPhase::Running && !request->source.local
         && request->source.cell == *cell && request->source.owner == from && request->target == message.target;
     if (used)
-        return; // Granted again after a resynchronisation that crossed the first grant: the owner's record is right.
-    // One that is no longer the owner would grant slots that the present owner counts as free.
+        return; // Repeated after a resynchronisation that crossed the first grant; the owner's record is correct.
+    // A former owner would grant slots that the current owner counts as free.
     if (here && ownerOf(*cell) == from
         && start(now, *request, SlotSource { *cell, from, false }, message.target, message.charged))
         return;
     send(from, Purpose::Scheduling, wire::DeclineMessage { message.cell, message.serial });
     if (here)
-        loseOffer(*request, SlotSource { *cell, from, false }, true);
+        requeueOffer(*request, SlotSource { *cell, from, false }, true);
 }
 
 void PoolRouter::declined(TimePoint now, const RouterLife& from, const wire::DeclineMessage& message)
@@ -248,19 +248,21 @@
     }
 }
 
-// Two routers may see different owners for a moment. The offer goes back to its queue and is placed anew at the next
-// tick.
+// Two routers may briefly disagree on the owner. The offer returns to its queue and is placed again on the next tick.
 void PoolRouter::notOwner(const VmId& from, const wire::NotOwnerMessage& message)
 {
-    // What it was told it did not take in. Once it sees itself as the owner it needs to hear of what runs here.
+    // The router did not process what it was sent. Once it regards itself as the owner it needs to learn what runs
+    // here.
     const auto cell = cellByKey(message.cell);
     if (cell && ownerOf(*cell) == from)
-        m_unsynced.insert(cell->index);
+        m_unsyncedCells.insert(cell->index);
     if (cell && message.serial == 0)
-        loseOffers(true, [&](const Request&, const SlotSource& it) { return it == SlotSource { *cell, from, false }; });
+        requeueOffers(true, [&](const Request&, const SlotSource& it) {
+            return it == SlotSource { *cell, from, false };
+        });
     Request* request = m_requests.findSerial(message.serial);
     if (cell && request && request->pool == m_pool)
-        loseOffer(*request, SlotSource { *cell, from, false }, true);
+        requeueOffer(*request, SlotSource { *cell, from, false }, true);
 }
 
 void PoolRouter::settled(TimePoint now, const RouterLife& from, const wire::SettleMessage& message)
@@ -270,7 +272,7 @@
         const std::optional<TargetId> target = cell->targetOf(id);
         cell->settle(now, id, message.cost);
         if (target)
-            noteHealth(now, *target, message.health);
+            recordHealth(now, *target, message.health);
     }
 }
 
@@ -288,7 +290,7 @@
     CellScheduler* cell = ownedCell(message.cell);
     if (!cell)
         return;
-    m_offerers[from.vm] = now;
+    m_offeringRouters[from.vm] = now;
     cell->dropRouter(now, from);
     for (const wire::RunningEntry& it : message.running)
         cell->adopt(now, { RequestId { from, it.serial }, it.customer, it.target, it.charged });
@@ -303,7 +305,7 @@
         if (request && !request->source.local && request->source.cell == cell)
             message.running.push_back({ serial, request->arrival.customer, request->target, request->charged });
     }
-    m_told.insert({ cell.index, owner });
+    m_contactedOwners.insert({ cell.index, owner });
     send(owner, Purpose::Scheduling, message);
 }
 
@@ -312,7 +314,7 @@
     const auto cell = cellByKey(key);
     if (!cell || ownerOf(*cell) != from || from == m_settings.life.vm)
         return;
-    m_unsynced.erase(cell->index);
+    m_unsyncedCells.erase(cell->index);
     sendResync(*cell, from);
     for (auto& entry : m_queues) {
         for (std::uint64_t serial : entry.second.offered) {
@@ -325,36 +327,35 @@
 
 void PoolRouter::peerUp(const VmId& peer)
 {
-    routerBack(peer);
-    for (const OwnedCell& it : m_told) {
+    routerRecovered(peer);
+    for (const OwnedCell& it : m_contactedOwners) {
         if (it.owner == peer && ownerOf(CellId { m_pool, it.index }) == peer)
-            m_unsynced.insert(it.index);
+            m_unsyncedCells.insert(it.index);
     }
-    sendUnsynced();
+    sendPendingResyncs();
 }
 
-// While an owner does not answer its offers go elsewhere: to another cell, or to this router's own share of the
-// targets.
+// While an owner is unreachable its offers move to another cell or to this router's own share of the targets.
 void PoolRouter::peerDown(const VmId& peer)
 {
-    loseOffers(false, [&](const Request&, const SlotSource& it) { return !it.local && it.owner == peer; });
+    requeueOffers(false, [&](const Request&, const SlotSource& it) { return !it.local && it.owner == peer; });
 }
 
-void PoolRouter::dropRouter(TimePoint now, const RouterLife& life, bool forGood)
+void PoolRouter::dropRouter(TimePoint now, const RouterLife& life, bool permanently)
 {
     for (auto& cell : m_cells)
         cell.second->dropRouter(now, life);
-    if (m_offerers.erase(life.vm))
-        m_dropped.insert(life.vm);
-    if (forGood)
+    if (m_offeringRouters.erase(life.vm))
+        m_droppedRouters.insert(life.vm);
+    if (permanently)
         m_ledger->retire(life);
 }
 
-// The router may never have noticed that it was thought dead or out of reach. Unless it is told, its offers wait here
-// without being known, and what it runs takes slots that count as free.
-void PoolRouter::routerBack(const VmId& vm)
+// The router may not have noticed that it was considered dead or unreachable. Unless it is asked to resynchronise, its
+// offers are unknown here and wait forever, and its running requests occupy slots that are counted as free.
+void PoolRouter::routerRecovered(const VmId& vm)
 {
-    if (!m_dropped.erase(vm))
+    if (!m_droppedRouters.erase(vm))
         return;
     for (const auto& entry : m_cells)
         send(vm, Purpose::Scheduling, wire::ResyncRequestMessage { wire::cellKey(CellId { m_pool, entry.first }) });
@@ -362,28 +363,28 @@
 
 void PoolRouter::tick(TimePoint now)
 {
-    for (const TargetId& it : m_guard.released(now)) {
+    for (const TargetId& it : m_circuitBreaker.released(now)) {
         const bool accepting = m_serving.contains(it);
         m_local->setAccepting(it, accepting);
         auto cell = m_targetCells.find(it);
         if (cell != m_targetCells.end() && m_cells.contains(cell->second))
             m_cells.at(cell->second)->setAccepting(it, accepting);
     }
-    spreadOldest(now);
-    if (now >= m_nextMove) {
-        m_nextMove = now + moveInterval;
+    hedgeOldestOffers(now);
+    if (now >= m_nextRebalance) {
+        m_nextRebalance = now + rebalanceInterval;
         for (const auto& entry : m_queues)
             m_placeable.insert(entry.first);
-        sendUnsynced();
-        returnFallbackOffers(now);
+        sendPendingResyncs();
+        requeueFallbackOffers(now);
         relaxAvoidance(now);
-        moveOffers(now);
+        rebalanceOffers(now);
     }
     if (now >= m_nextSummary) {
         m_nextSummary = now + m_settings.summaryInterval;
         sendSummaries(now);
     }
-    pump(now);
+    placeAndGrant(now);
 }
 
 } // namespace sagechute::routing
--- a/src/routing/PoolPlacement.cpp
+++ b/src/routing/PoolPlacement.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where the requests of this router are offered: at first, again, and elsewhere.
+/// Chooses the cells in which this router's requests are offered: initial placement, hedged offers and rebalancing.
 
 #include "routing/PoolRouter.h"
 
@@ -11,27 +11,28 @@
 
 namespace {
 
-    constexpr std::size_t movesPerRound = 64;
-    constexpr std::size_t movesPerCustomer = 8;
-    constexpr Duration freeSlotsMemory = std::chrono::seconds(3);
-    constexpr std::uint32_t smallestWindow = 4;
+    constexpr std::size_t maxMovesPerRound = 64;
+    constexpr std::size_t maxMovesPerCustomer = 8;
+    constexpr Duration freeSlotsMaxAge = std::chrono::seconds(3);
+    constexpr std::uint32_t minWindow = 4;
 
-    /// A request that still waits after this takes any target, also one that has failed it. Those that it would rather
-    /// have may be down, as the cell's owner knows and its router does not.
-    constexpr Duration avoidanceMost = std::chrono::seconds(1);
+    /// After this time a waiting request accepts any target, including one that has failed it. The targets it would
+    /// prefer may be down, which the cell's owner knows but this router does not.
+    constexpr Duration avoidanceTimeout = std::chrono::seconds(1);
 
-    /// How long a customer's oldest request waits in one cell before it is offered in others too, and in how many.
-    constexpr Duration spreadAfter = std::chrono::milliseconds(10);
-    constexpr std::size_t mostOffers = 4;
-    constexpr std::size_t spreadsPerRound = 64;
+    /// How long a customer's oldest request waits in one cell before it is also offered in others, and the maximum
+    /// number of cells.
+    constexpr Duration hedgeDelay = std::chrono::milliseconds(10);
+    constexpr std::size_t maxOffersPerRequest = 4;
+    constexpr std::size_t maxHedgesPerRound = 64;
 
-    /// With as many waiting as this a cell does not run dry before its owner has told more.
-    constexpr std::uint32_t busyWaiting = 2;
+    /// A cell with this many waiting requests will not run out of work before its owner sends the next digest.
+    constexpr std::uint32_t busyQueueLength = 2;
 
 } // namespace
 
-// Only a window of each customer's requests is offered in each cell, so that a flood in one router costs an owner no
-// more than a modest queue.
+// Only a window of each customer's requests is offered in each cell, so that a flood at one router costs an owner no
+// more than a moderate queue.
 void PoolRouter::placeWaiting(TimePoint now)
 {
     if (m_placeable.empty())
@@ -56,7 +57,7 @@
 {
     const CustomerQueue& queue = m_queues[request.arrival.customer];
     std::optional<SlotSource> source;
-    if (anyUsable())
+    if (hasUsableCell())
         source = choose(now, request);
     else if (queue.offered.size() < m_settings.cells.offersPerRouterAndCustomer)
         source = SlotSource { {}, m_settings.life.vm, true };
@@ -68,20 +69,21 @@
 std::optional<SlotSource> PoolRouter::choose(TimePoint now, const Request& request)
 {
     const CustomerQueue& queue = m_queues[request.arrival.customer];
-    const CellId wish
+    const CellId preferred
         = m_placer->place(now, request.arrival.customer, m_ledger->virtualService(request.arrival.customer));
-    const bool free = takeFreeSlot(now, wish.index);
-    if ((free || queue.offered.empty()) && usable(wish) && offersTargetsFor(wish, request))
-        return sourceAt(wish);
-    if (const auto cell = leastOffered(now, queue, request))
+    const bool free = takeFreeSlot(now, preferred.index);
+    if ((free || queue.offered.empty()) && usable(preferred) && hasEligibleTarget(preferred, request))
+        return sourceAt(preferred);
+    if (const auto cell = leastFilledCell(now, queue, request))
         return sourceAt(*cell);
     return std::nullopt;
 }
 
-// Where no slot is known to be free, a customer's requests wait in all cells alike. If they all waited in one, the
-// slots of the others would idle until their owners had told of it; 45 to 80 per cent of all slot time was lost that
-// way with all load on one router.
-std::optional<CellId> PoolRouter::leastOffered(TimePoint now, const CustomerQueue& queue, const Request& request) const
+// If no slot is known to be free, a customer's requests are spread evenly over all cells. If they all waited in one
+// cell, slots elsewhere would idle until their owners had reported them: with all load on one router, 45 to 80 percent
+// of the slot time was lost that way.
+std::optional<CellId> PoolRouter::leastFilledCell(
+    TimePoint now, const CustomerQueue& queue, const Request& request) const
 {
     std::optional<CellId> best;
     double least = 0;
@@ -91,12 +93,13 @@
         if (offered >= windowAt(it.index) || !usable(it))
             continue;
         double filled = static_cast<double>(offered) / windowAt(it.index) + loadAt(it.index) / 2;
-        if (!offersTargetsFor(it, request))
-            filled += 2; // Only if there is no other cell.
+        if (!hasEligibleTarget(it, request))
+            filled += 2; // Only if no other cell is available.
         else if (m_cells.contains(it.index))
-            filled -= 1e-6; // The own cell costs no messages.
-        else if (knownBusy(now, it.index) && !m_cells.empty())
-            filled += 1; // It has work for a while; a message there buys nothing until the own cell's window is full.
+            filled -= 1e-6; // Offers to a cell owned here cost no messages.
+        else if (isKnownBusy(now, it.index) && !m_cells.empty())
+            filled += 1; // The cell has enough work; a message to it gains nothing until the window of this router's
+                         // own cell is full.
         if (best && filled >= least)
             continue;
         best = it;
@@ -109,7 +112,7 @@
 {
     const auto slots = m_cellSlots.find(cell);
     const std::uint32_t wanted = slots == m_cellSlots.end() ? 0 : slots->second;
-    return std::min(std::max(wanted, smallestWindow), m_settings.cells.offersPerRouterAndCustomer);
+    return std::min(std::max(wanted, minWindow), m_settings.cells.offersPerRouterAndCustomer);
 }
 
 double PoolRouter::loadAt(std::uint32_t cell) const
@@ -130,7 +133,7 @@
 bool PoolRouter::takeFreeSlot(TimePoint now, std::uint32_t cell)
 {
     const auto it = m_freeSlots.find(cell);
-    if (it == m_freeSlots.end() || !it->second.count || now - it->second.learned > freeSlotsMemory)
+    if (it == m_freeSlots.end() || !it->second.count || now - it->second.learned > freeSlotsMaxAge)
         return false;
     --it->second.count;
     return true;
@@ -142,7 +145,7 @@
     return owner == m_settings.life.vm || (!owner.empty() && m_host.reachable(owner));
 }
 
-bool PoolRouter::anyUsable() const
+bool PoolRouter::hasUsableCell() const
 {
     return std::any_of(m_cellIds.begin(), m_cellIds.end(), [&](const CellId& it) { return usable(it); });
 }
@@ -153,7 +156,7 @@
         [&](const SlotSource& it) { return !it.local && it.cell == cell; });
 }
 
-bool PoolRouter::offersTargetsFor(const CellId& cell, const Request& request) const
+bool PoolRouter::hasEligibleTarget(const CellId& cell, const Request& request) const
 {
     if (request.avoid.empty())
         return true;
@@ -163,11 +166,11 @@
     });
 }
 
-// Where every target is to be avoided none is: else the request would wait for ever for a target that does not exist.
-std::vector<TargetId> PoolRouter::avoidAt(const SlotSource& source, const Request& request) const
+// If every target is to be avoided the list is ignored; otherwise the request would wait forever.
+std::vector<TargetId> PoolRouter::targetsToAvoid(const SlotSource& source, const Request& request) const
 {
     if (!source.local)
-        return offersTargetsFor(source.cell, request) ? request.avoid : std::vector<TargetId> {};
+        return hasEligibleTarget(source.cell, request) ? request.avoid : std::vector<TargetId> {};
     const bool other = std::any_of(m_localTargets.begin(), m_localTargets.end(), [&](const TargetId& it) {
         return m_serving.contains(it)
             && std::find(request.avoid.begin(), request.avoid.end(), it) == request.avoid.end();
@@ -180,7 +183,7 @@
     for (auto& entry : m_queues) {
         for (std::uint64_t serial : entry.second.offered) {
             Request* request = m_requests.findSerial(serial);
-            if (!request || request->avoid.empty() || now - request->offeredSince < avoidanceMost)
+            if (!request || request->avoid.empty() || now - request->offeredSince < avoidanceTimeout)
                 continue;
             request->avoid.clear();
             request->offeredSince = now;
@@ -190,49 +193,51 @@
     }
 }
 
-std::optional<CellId> PoolRouter::idlest(TimePoint now, const CustomerQueue& queue, const Request& request) const
+std::optional<CellId> PoolRouter::leastLoadedCell(
+    TimePoint now, const CustomerQueue& queue, const Request& request) const
 {
     std::optional<CellId> best;
     for (const CellId& it : m_cellIds) {
-        if (queue.offeredAt.contains(it.index) || knownBusy(now, it.index) || !usable(it))
+        if (queue.offeredAt.contains(it.index) || isKnownBusy(now, it.index) || !usable(it))
             continue;
-        if (offersTargetsFor(it, request) && (!best || loadAt(it.index) < loadAt(best->index)))
+        if (hasEligibleTarget(it, request) && (!best || loadAt(it.index) < loadAt(best->index)))
             best = it;
     }
     return best;
 }
 
-bool PoolRouter::knownBusy(TimePoint now, std::uint32_t cell) const
+bool PoolRouter::isKnownBusy(TimePoint now, std::uint32_t cell) const
 {
     const auto it = m_freeSlots.find(cell);
-    return it != m_freeSlots.end() && it->second.waiting >= busyWaiting && now - it->second.learned <= freeSlotsMemory;
+    return it != m_freeSlots.end() && it->second.waiting >= busyQueueLength
+        && now - it->second.learned <= freeSlotsMaxAge;
 }
 
-// A few requests cannot wait in all cells, and a slot that becomes free where none of them waits would idle until its
-// owner's digest has come round. So a customer's oldest request is offered in several cells at once: the first grant
-// wins, and one that crosses the withdrawal is declined.
-void PoolRouter::spreadOldest(TimePoint now)
+// A few requests cannot wait in every cell, and a slot freed in a cell without any of them would idle until the owner's
+// next digest. A customer's oldest request is therefore offered in several cells at once. The first grant wins; one
+// that crosses the withdrawal in transit is declined.
+void PoolRouter::hedgeOldestOffers(TimePoint now)
 {
     if (m_cellIds.size() < 2)
         return;
-    std::size_t spreads = 0;
+    std::size_t hedges = 0;
     for (auto& [customer, queue] : m_queues) {
-        if (queue.offered.empty() || queue.offeredAt.size() >= m_cellIds.size() || spreads >= spreadsPerRound)
+        if (queue.offered.empty() || queue.offeredAt.size() >= m_cellIds.size() || hedges >= maxHedgesPerRound)
             continue;
         Request* oldest = m_requests.findSerial(*queue.offered.begin());
-        if (!oldest || oldest->offers.front().local || now - oldest->offeredSince < spreadAfter)
+        if (!oldest || oldest->offers.front().local || now - oldest->offeredSince < hedgeDelay)
             continue;
-        while (oldest->offers.size() < mostOffers) {
-            const auto cell = idlest(now, queue, *oldest);
+        while (oldest->offers.size() < maxOffersPerRequest) {
+            const auto cell = leastLoadedCell(now, queue, *oldest);
             if (!cell)
                 break;
             offerTo(now, *oldest, sourceAt(*cell));
-            ++spreads;
+            ++hedges;
         }
     }
 }
 
-void PoolRouter::moveOffers(TimePoint now)
+void PoolRouter::rebalanceOffers(TimePoint now)
 {
     if (m_cellIds.size() < 2)
         return;
@@ -240,48 +245,49 @@
     for (auto& [customer, queue] : m_queues) {
         const Cost virtualService = m_ledger->virtualService(customer);
         std::vector<std::uint64_t> oldest(queue.offered.begin(),
-            std::next(
-                queue.offered.begin(), static_cast<std::ptrdiff_t>(std::min(movesPerCustomer, queue.offered.size()))));
+            std::next(queue.offered.begin(),
+                static_cast<std::ptrdiff_t>(std::min(maxMovesPerCustomer, queue.offered.size()))));
         for (std::uint64_t serial : oldest) {
             Request* request = m_requests.findSerial(serial);
-            if (!request || request->offers.size() != 1 || request->offers.front().local || moves >= movesPerRound)
+            if (!request || request->offers.size() != 1 || request->offers.front().local || moves >= maxMovesPerRound)
                 continue;
             const auto cell
                 = m_placer->better(now, request->offers.front().cell, request->offeredSince, virtualService);
             if (!cell || !usable(*cell))
                 continue;
-            takeBack(now, *request);
+            withdrawOffers(now, *request);
             offerTo(now, *request, sourceAt(*cell));
             ++moves;
         }
     }
 }
 
-// What was offered to the fallback waits for this router's own share of the targets, which may be nothing. It goes back
-// to the cells as soon as one of them has an owner in reach.
-void PoolRouter::returnFallbackOffers(TimePoint now)
+// Offers to the fallback scheduler wait for this router's own share of the targets, which may be empty. They return to
+// the cells as soon as the owner of one is reachable.
+void PoolRouter::requeueFallbackOffers(TimePoint now)
 {
-    if (!anyUsable())
+    if (!hasUsableCell())
         return;
-    loseOffers(false, [&](const Request& request, const SlotSource& it) {
+    requeueOffers(false, [&](const Request& request, const SlotSource& it) {
         if (it.local)
             m_local->withdraw(now, request.id);
         return it.local;
     });
 }
 
-void PoolRouter::returnLostOffers()
+void PoolRouter::requeueOrphanedOffers()
 {
-    loseOffers(false, [&](const Request&, const SlotSource& it) {
+    requeueOffers(false, [&](const Request&, const SlotSource& it) {
         const bool gone = it.owner == m_settings.life.vm && !m_cells.contains(it.cell.index);
         return !it.local && (gone || ownerOf(it.cell) != it.owner);
     });
 }
 
-void PoolRouter::loseOffers(bool later, const std::function<bool(const Request&, const SlotSource&)>& isLost)
+void PoolRouter::requeueOffers(
+    bool deferPlacement, const std::function<bool(const Request&, const SlotSource&)>& shouldRequeue)
 {
     for (auto& entry : m_queues) {
-        // From the youngest on: each goes to the front of the queue, which so keeps its order.
+        // Iterates from the newest: each request goes to the front of the queue, which preserves the order.
         const std::set<std::uint64_t> offered = entry.second.offered;
         for (auto it = offered.rbegin(); it != offered.rend(); ++it) {
             Request* request = m_requests.findSerial(*it);
@@ -289,8 +295,8 @@
                 continue;
             const std::vector<SlotSource> offers = request->offers;
             for (const SlotSource& source : offers) {
-                if (isLost(*request, source))
-                    loseOffer(*request, source, later);
+                if (shouldRequeue(*request, source))
+                    requeueOffer(*request, source, deferPlacement);
             }
         }
     }
--- a/src/routing/PoolRouter.cpp
+++ b/src/routing/PoolRouter.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-    /// Index of the scheduler that is no cell: static policy and fallback.
+    /// Cell index of the local scheduler, which belongs to no cell; used by the static policy and as the fallback.
     constexpr std::uint32_t localCellIndex = 0xFFFFFFFF;
 
-    /// Service is told to a cell's owner when it exceeds what the owner knows by this: a few messages for a long
-    /// request.
+    /// Progress is reported to the cell's owner when it exceeds the last known service by this factor, which means a
+    /// few messages for a long request.
     constexpr double progressFactor = 1.5;
 
 } // namespace
@@ -59,9 +59,9 @@
     updateOwnedCells(config, map);
     updateLocalShare(config);
     moveRunningToOwners(now);
-    noteChangedOwners(before);
-    sendUnsynced();
-    returnLostOffers();
+    markChangedOwners(before);
+    sendPendingResyncs();
+    requeueOrphanedOffers();
 }
 
 void PoolRouter::updateOwnedCells(const config::ConfigView& config, const scheduling::CellMap& map)
@@ -87,7 +87,7 @@
         m_targetCells[it] = index;
         m_cellSlots[index] += m_serving.contains(it) ? target->slots : 0;
         targets[index].push_back(
-            { it, target->slots + m_settings.windowSlack, m_serving.contains(it) && !m_guard.blocked(it) });
+            { it, target->slots + m_settings.windowSlack, m_serving.contains(it) && !m_circuitBreaker.blocked(it) });
     }
     std::erase_if(
         m_cells, [&](const auto& cell) { return std::find(owned.begin(), owned.end(), cell.first) == owned.end(); });
@@ -95,9 +95,9 @@
         auto& cell = m_cells[index];
         if (!cell) {
             cell = CellScheduler::make(CellId { m_pool, index }, m_settings.cells, *m_ledger);
-            // A holder whose own view never changed does not know that this router gave the cell up for a moment: its
-            // offers would wait here for ever without being known.
-            for (const auto& entry : m_offerers)
+            // A router whose own view never changed does not know that this router briefly gave up the cell. Without a
+            // resynchronisation its offers would wait forever without being known here.
+            for (const auto& entry : m_offeringRouters)
                 send(entry.first, Purpose::Scheduling,
                     wire::ResyncRequestMessage { wire::cellKey(CellId { m_pool, index }) });
         }
@@ -124,13 +124,13 @@
             it, config.findTarget(it)->slots + m_settings.windowSlack, std::max<std::size_t>(1, routers.size()), index);
         if (share)
             m_localTargets.insert(it);
-        targets.push_back({ it, share, m_serving.contains(it) && !m_guard.blocked(it) });
+        targets.push_back({ it, share, m_serving.contains(it) && !m_circuitBreaker.blocked(it) });
     }
     m_local->setTargets(targets);
 }
 
-// A new owner starts with nothing. Unless it learns what runs on its targets it takes all slots for free and overfills
-// them.
+// A new owner starts without state. Unless it learns what runs on its targets, it regards all slots as free and
+// overloads them.
 void PoolRouter::moveRunningToOwners(TimePoint now)
 {
     for (std::uint64_t serial : m_running) {
@@ -143,32 +143,32 @@
             continue;
         if (request->source.cell == source.cell && request->source.owner == source.owner)
             continue;
-        countDown(m_cellLoad, request->source.cell.index);
+        decrementCount(m_cellLoad, request->source.cell.index);
         ++m_cellLoad[source.cell.index];
         request->source = source;
         if (source.owner == m_settings.life.vm)
             m_cells.at(source.cell.index)
                 ->adopt(now, { request->id, request->arrival.customer, request->target, request->charged });
         else
-            m_unsynced.insert(source.cell.index);
+            m_unsyncedCells.insert(source.cell.index);
     }
 }
 
-// An owner may come back that still counts requests which ended while another one was told of their end.
-void PoolRouter::noteChangedOwners(const std::map<std::uint32_t, std::vector<VmId>>& before)
+// An owner that returns may still count requests whose end was reported to another owner.
+void PoolRouter::markChangedOwners(const std::map<std::uint32_t, std::vector<VmId>>& before)
 {
     for (const CellId& it : m_cellIds) {
         const VmId owner = ownerOf(it);
         const auto old = before.find(it.index);
         const bool same = old != before.end() && !old->second.empty() && old->second.front() == owner;
-        if (!same && m_told.contains({ it.index, owner }))
-            m_unsynced.insert(it.index);
+        if (!same && m_contactedOwners.contains({ it.index, owner }))
+            m_unsyncedCells.insert(it.index);
     }
 }
 
-void PoolRouter::sendUnsynced()
+void PoolRouter::sendPendingResyncs()
 {
-    std::erase_if(m_unsynced, [&](std::uint32_t index) {
+    std::erase_if(m_unsyncedCells, [&](std::uint32_t index) {
         const CellId cell { m_pool, index };
         const VmId owner = ownerOf(cell);
         if (owner.empty() || owner == m_settings.life.vm)
@@ -231,16 +231,16 @@
     m_placeable.insert(request.arrival.customer);
 }
 
-void PoolRouter::abandon(TimePoint now, Request& request) { takeBack(now, request); }
+void PoolRouter::abandon(TimePoint now, Request& request) { withdrawOffers(now, request); }
 
 void PoolRouter::ended(TimePoint now, const Request& request, Cost cost, wire::TargetHealth health)
 {
     m_running.erase(request.id.serial);
     if (!request.source.local)
-        countDown(m_cellLoad, request.source.cell.index);
+        decrementCount(m_cellLoad, request.source.cell.index);
     if (CellScheduler* scheduler = schedulerOf(request.source)) {
         scheduler->settle(now, request.id, cost);
-        noteHealth(now, request.target, health);
+        recordHealth(now, request.target, health);
         return;
     }
     if (request.source.owner == m_settings.life.vm)
@@ -256,21 +256,21 @@
         scheduler->progress(now, request.id, request.soFar);
         return;
     }
-    // The owner has charged an estimate; only service well beyond it is news. Told each second, this was two thirds of
-    // all messages between 111 routers.
-    const bool due = now - request.progressTold >= m_settings.progressInterval;
-    const bool news = request.soFar > std::max(request.charged, request.soFarTold) * progressFactor;
-    if (!due || !news || request.source.owner == m_settings.life.vm)
+    // The owner has already charged an estimate, so only service well beyond it is worth a message. Reporting every
+    // second accounted for two thirds of all messages between 111 routers.
+    const bool due = now - request.progressReportedAt >= m_settings.progressInterval;
+    const bool significant = request.soFar > std::max(request.charged, request.soFarReported) * progressFactor;
+    if (!due || !significant || request.source.owner == m_settings.life.vm)
         return;
-    request.progressTold = now;
-    request.soFarTold = request.soFar;
+    request.progressReportedAt = now;
+    request.soFarReported = request.soFar;
     send(request.source.owner, Purpose::Scheduling,
         wire::ProgressMessage { wire::cellKey(request.source.cell), { { request.id.serial, request.soFar } } });
 }
 
-void PoolRouter::noteHealth(TimePoint now, const TargetId& target, wire::TargetHealth health)
+void PoolRouter::recordHealth(TimePoint now, const TargetId& target, wire::TargetHealth health)
 {
-    const bool blocked = m_guard.report(now, target, health);
+    const bool blocked = m_circuitBreaker.report(now, target, health);
     const bool accepting = m_serving.contains(target) && !blocked;
     m_local->setAccepting(target, accepting);
     auto cell = m_targetCells.find(target);
--- a/src/routing/PoolRouter.h
+++ b/src/routing/PoolRouter.h
@@ -5,7 +5,7 @@
 
 #include "routing/Outbox.h"
 #include "routing/RequestTable.h"
-#include "routing/TargetGuard.h"
+#include "routing/TargetCircuitBreaker.h"
 
 #include <functional>
 #include <map>
@@ -14,18 +14,18 @@
 
 namespace sagechute::routing {
 
-/// What a pool needs from the router around it.
+/// Services that a pool needs from its router.
 class PoolHost {
 public:
     virtual ~PoolHost() = default;
 
-    /// The request may now be sent to request.target.
+    /// Called when the request may be sent to request.target.
     void granted(TimePoint now, Request& request) { onGranted(now, request); }
 
-    /// @return whether new work may be started at all.
+    /// @return whether new work may be started.
     bool mayStart(TimePoint now) const { return onMayStart(now); }
 
-    /// @return whether messages to a member get through, as far as known.
+    /// @return whether a member can be reached by messages, as far as known.
     bool reachable(const VmId& vm) const { return onReachable(vm); }
 
 private:
@@ -34,24 +34,24 @@
     virtual bool onReachable(const VmId&) const = 0;
 };
 
-/// @return how many of a target's slots one router may use by itself when routers share it without talking: slot j
-/// belongs to router (hash(target) + j) mod @p routers. Used by the static baseline and while no owner answers.
+/// @return how many of a target's slots one router may use when routers share the target without coordination: slot j
+/// belongs to router (hash(target) + j) mod @p routers. Used by the static policy and while no owner is reachable.
 std::uint32_t staticShare(const TargetId&, std::uint32_t slots, std::size_t routers, std::size_t self);
 
 class PoolRouter {
 public:
     PoolRouter(PoolId, const RouterSettings&, const membership::MembershipView&, RequestTable&, Outbox&, PoolHost&);
 
-    /// Follows a change of configuration or membership.
+    /// Applies a change of configuration or membership.
     void reconfigure(TimePoint now, const config::ConfigView&, const scheduling::CellMap&);
 
-    /// A request begins to wait. @param atFront it has waited before.
+    /// Adds a request to its customer's queue. @param atFront true if it has waited before.
     void enqueue(Request&, bool atFront);
 
-    /// A waiting request is given up: nobody may grant it any more.
+    /// Gives up a waiting request: its offers are withdrawn and it can no longer be granted a slot.
     void abandon(TimePoint now, Request&);
 
-    /// A running request ended; its slot is free.
+    /// Called when a running request has ended and its slot is free.
     void ended(TimePoint now, const Request&, Cost, wire::TargetHealth);
     void progressed(TimePoint now, Request&, Cost soFar);
 
@@ -64,27 +64,27 @@
     void progressReceived(TimePoint now, const RouterLife& from, const wire::ProgressMessage&);
     void resynchronised(TimePoint now, const RouterLife& from, const wire::ResyncMessage&);
 
-    /// The owner of a cell lost, or never had, what it should know of this router.
+    /// The owner of a cell lost, or never had, its state about this router.
     void resyncRequested(TimePoint now, const VmId& from, wire::CellKey);
     void summaryReceived(TimePoint now, const RouterLife& from, const scheduling::PoolSummary&);
-    void ledgerPulled(const VmId& from);
+    void answerLedgerPull(const VmId& from);
     void prefixChanged(const TargetId&, std::uint64_t prefix, bool stored);
     void prefixesUnknown(const TargetId&);
 
-    /// A stream to a member came up after it was down: what was sent before may be lost.
+    /// A stream to a member is up again after it was down; earlier messages may have been lost.
     void peerUp(const VmId&);
     void peerDown(const VmId&);
 
-    /// A router's life is over or doubtful: it holds no slot and no offer any more.
-    void dropRouter(TimePoint now, const RouterLife&, bool forGood);
+    /// A router is dead or suspected: it no longer holds any slot or offer.
+    void dropRouter(TimePoint now, const RouterLife&, bool permanently);
 
-    /// A router is in touch again; if it was dropped, it has to offer and report anew.
-    void routerBack(const VmId&);
+    /// A router is reachable again; if it was dropped, it has to send its offers and running requests again.
+    void routerRecovered(const VmId&);
 
-    /// Offers what waits and grants what is free.
-    void pump(TimePoint now);
+    /// Places waiting requests and grants free slots.
+    void placeAndGrant(TimePoint now);
 
-    /// Does what is due by time only: summaries, moves of offers, released targets.
+    /// Performs time-driven work: summaries, rebalancing of offers, unblocking of targets.
     void tick(TimePoint now);
 
     bool ownsCell(wire::CellKey) const;
@@ -96,9 +96,9 @@
     struct CustomerQueue {
         std::deque<std::uint64_t> waiting;
         std::set<std::uint64_t> offered;
-        std::map<std::uint32_t, std::uint32_t> offeredAt; ///< Number by cell.
+        std::map<std::uint32_t, std::uint32_t> offeredAt; ///< Number of offers by cell.
     };
-    /// Slots that a cell is known to have free, less those for which this router has offered since.
+    /// Slots known to be free in a cell, less the offers that this router has made since.
     struct FreeSlots {
         std::uint32_t count = 0;
         std::uint32_t waiting = 0;
@@ -123,52 +123,53 @@
     void updateOwnedCells(const config::ConfigView&, const scheduling::CellMap&);
     void updateLocalShare(const config::ConfigView&);
     void moveRunningToOwners(TimePoint now);
-    void noteChangedOwners(const std::map<std::uint32_t, std::vector<VmId>>& before);
-    void returnLostOffers();
-    void returnFallbackOffers(TimePoint now);
-    void loseOffers(bool later, const std::function<bool(const Request&, const SlotSource&)>& isLost);
-    void loseOffer(Request&, const SlotSource&, bool later);
+    void markChangedOwners(const std::map<std::uint32_t, std::vector<VmId>>& before);
+    void requeueOrphanedOffers();
+    void requeueFallbackOffers(TimePoint now);
+    void requeueOffers(
+        bool deferPlacement, const std::function<bool(const Request&, const SlotSource&)>& shouldRequeue);
+    void requeueOffer(Request&, const SlotSource&, bool deferPlacement);
 
     void placeWaiting(TimePoint now);
     bool place(TimePoint now, Request&);
     void offerTo(TimePoint now, Request&, const SlotSource&);
     void sendOffer(TimePoint now, const Request&, const SlotSource&);
-    void withdrawFrom(TimePoint now, const Request&, const SlotSource&);
-    void forgetOffer(Request&, const SlotSource&);
-    void takeBack(TimePoint now, Request&, const SlotSource* granted = nullptr);
-    static void countDown(std::map<std::uint32_t, std::uint32_t>& counts, std::uint32_t cell);
+    void withdrawOffer(TimePoint now, const Request&, const SlotSource&);
+    void removeOffer(Request&, const SlotSource&);
+    void withdrawOffers(TimePoint now, Request&, const SlotSource* granted = nullptr);
+    static void decrementCount(std::map<std::uint32_t, std::uint32_t>& counts, std::uint32_t cell);
     SlotSource sourceAt(const scheduling::CellId& cell) const { return { cell, ownerOf(cell), false }; }
     std::optional<SlotSource> choose(TimePoint now, const Request&);
-    std::optional<scheduling::CellId> leastOffered(TimePoint now, const CustomerQueue&, const Request&) const;
-    std::optional<scheduling::CellId> idlest(TimePoint now, const CustomerQueue&, const Request&) const;
-    bool knownBusy(TimePoint now, std::uint32_t cell) const;
+    std::optional<scheduling::CellId> leastFilledCell(TimePoint now, const CustomerQueue&, const Request&) const;
+    std::optional<scheduling::CellId> leastLoadedCell(TimePoint now, const CustomerQueue&, const Request&) const;
+    bool isKnownBusy(TimePoint now, std::uint32_t cell) const;
     std::uint32_t windowAt(std::uint32_t cell) const;
     bool takeFreeSlot(TimePoint now, std::uint32_t cell);
     void learn(TimePoint now, const scheduling::CellDigest&);
     double loadAt(std::uint32_t cell) const;
     bool usable(const scheduling::CellId&) const;
-    bool anyUsable() const;
+    bool hasUsableCell() const;
     static bool isOfferedAt(const Request&, const scheduling::CellId&);
-    bool offersTargetsFor(const scheduling::CellId&, const Request&) const;
-    std::vector<TargetId> avoidAt(const SlotSource&, const Request&) const;
+    bool hasEligibleTarget(const scheduling::CellId&, const Request&) const;
+    std::vector<TargetId> targetsToAvoid(const SlotSource&, const Request&) const;
     void relaxAvoidance(TimePoint now);
-    void spreadOldest(TimePoint now);
-    void moveOffers(TimePoint now);
+    void hedgeOldestOffers(TimePoint now);
+    void rebalanceOffers(TimePoint now);
 
     void grantFrom(TimePoint now, scheduling::CellScheduler&, const SlotSource&);
-    bool giveGrant(TimePoint now, scheduling::CellScheduler&, const SlotSource&, const scheduling::Grant&);
+    bool deliverGrant(TimePoint now, scheduling::CellScheduler&, const SlotSource&, const scheduling::Grant&);
     bool start(TimePoint now, Request&, const SlotSource&, const TargetId&, Cost charged);
     void sendResync(const scheduling::CellId&, const VmId& owner);
-    void sendUnsynced();
-    void noteHealth(TimePoint now, const TargetId&, wire::TargetHealth);
+    void sendPendingResyncs();
+    void recordHealth(TimePoint now, const TargetId&, wire::TargetHealth);
 
     std::vector<scheduling::CellDigest> digests() const;
     std::vector<VmId> ledgerReceivers() const;
-    std::vector<VmId> digestReceivers(TimePoint now, const std::vector<VmId>& told) const;
-    std::vector<VmId> takeTurns(const std::set<VmId>& candidates) const;
-    void pullLedger();
+    std::vector<VmId> digestReceivers(TimePoint now, const std::vector<VmId>& alreadyInformed) const;
+    std::vector<VmId> selectReceivers(const std::set<VmId>& candidates) const;
+    void requestLedger();
     void sendSummaries(TimePoint now);
-    void noticeIdle(TimePoint now);
+    void notifyFreeSlots(TimePoint now);
     bool send(const VmId&, Purpose, const wire::Message&);
 
     PoolId m_pool;
@@ -180,32 +181,32 @@
 
     std::unique_ptr<scheduling::ServiceLedger> m_ledger;
     std::map<std::uint32_t, std::unique_ptr<scheduling::CellScheduler>> m_cells;
-    std::unique_ptr<scheduling::CellScheduler> m_local; ///< Static policy, and the fallback while no owner answers.
+    std::unique_ptr<scheduling::CellScheduler> m_local; ///< Static policy, and the fallback without a reachable owner.
     std::unique_ptr<scheduling::OfferPlacer> m_placer;
-    TargetGuard m_guard;
+    TargetCircuitBreaker m_circuitBreaker;
     std::map<CustomerId, CustomerQueue> m_queues;
     std::set<CustomerId> m_placeable; ///< Customers with a waiting request that may be offered.
     std::set<std::uint64_t> m_running;
     std::vector<scheduling::CellId> m_cellIds; ///< By index.
     std::map<std::uint32_t, std::vector<VmId>> m_owners;
-    std::vector<TargetId> m_targets; ///< Sorted, all of the pool.
+    std::vector<TargetId> m_targets; ///< All targets of the pool, sorted.
     std::map<TargetId, std::uint32_t> m_targetCells;
     std::set<TargetId> m_serving;
-    std::map<std::uint32_t, std::uint32_t> m_cellSlots; ///< Slots of the targets that serve, by cell.
+    std::map<std::uint32_t, std::uint32_t> m_cellSlots; ///< Slots of the serving targets, by cell.
     std::map<std::uint32_t, FreeSlots> m_freeSlots;
     std::map<std::uint32_t, std::uint32_t> m_cellLoad; ///< Offers and running requests of this router, by cell.
     std::map<std::uint32_t, RemoteCell> m_remoteCells;
-    std::map<VmId, TimePoint> m_offerers; ///< When a router last offered or reported something here.
-    std::set<VmId> m_dropped; ///< Offerers whose offers and running requests were dropped without their knowing.
-    std::set<OwnedCell> m_told; ///< Owners that may remember something of this router.
-    std::set<std::uint32_t> m_unsynced; ///< Cells whose owner needs a resynchronisation before anything else.
-    std::set<TargetId> m_localTargets; ///< Those with a share in the fallback.
+    std::map<VmId, TimePoint> m_offeringRouters; ///< When each router last sent an offer or a resynchronisation.
+    std::set<VmId> m_droppedRouters; ///< Routers that do not know that their offers and running requests were dropped.
+    std::set<OwnedCell> m_contactedOwners; ///< Owners that may hold state about this router.
+    std::set<std::uint32_t> m_unsyncedCells; ///< Cells whose owner must be resynchronised before anything else.
+    std::set<TargetId> m_localTargets; ///< Targets of which this router has a share in the fallback.
     std::size_t m_targetCount = 0;
     TimePoint m_nextSummary {};
-    TimePoint m_nextIdleNotice {};
-    TimePoint m_nextMove {};
+    TimePoint m_nextFreeSlotNotice {};
+    TimePoint m_nextRebalance {};
     unsigned m_summariesSent = 0;
-    bool m_ledgerPulled = false;
+    bool m_ledgerRequested = false;
 };
 
 } // namespace sagechute::routing
--- a/src/routing/RequestTable.cpp
+++ b/src/routing/RequestTable.cpp
@@ -34,11 +34,11 @@
     m_requests.erase(it);
 }
 
-void RequestTable::countDeadline(const Request& request, bool counts)
+void RequestTable::setDeadlineActive(const Request& request, bool active)
 {
     if (!request.deadline)
         return;
-    if (counts)
+    if (active)
         m_deadlines.emplace(*request.deadline, request.id.serial);
     else
         m_deadlines.erase({ *request.deadline, request.id.serial });
--- a/src/routing/RequestTable.h
+++ b/src/routing/RequestTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The requests that this router holds for its callers, and their order per customer.
+/// The requests that this router holds for its callers.
 
 #include <sagechute/Routing.h>
 
@@ -13,19 +13,19 @@
 namespace sagechute::routing {
 
 enum class RequestPhase {
-    Waiting, ///< In its customer's queue here, offered nowhere.
-    Offered, ///< The owner of a cell knows that it waits.
-    Backoff, ///< Waits for its next attempt.
-    Running, ///< An attempt at a target is under way.
-    Forwarded, ///< The router that holds its session runs it.
-    Attached, ///< Waits for the end of an earlier send of the same request.
+    Waiting, ///< In its customer's queue here, not offered to any cell.
+    Offered, ///< Offered to the owner of at least one cell.
+    Backoff, ///< Waiting for its next attempt.
+    Running, ///< An attempt at a target is in progress.
+    Forwarded, ///< Being run by the router that holds its session.
+    Coalesced, ///< Waiting for the end of an earlier send of the same request.
 };
 
-/// Where a request's permission comes from: whom to tell of its end.
+/// The source of a request's slot, which has to be told when the request ends.
 struct SlotSource {
     scheduling::CellId cell;
     VmId owner;
-    bool local = false; ///< The fallback scheduler of this router.
+    bool local = false; ///< The slot is from this router's fallback scheduler.
 
     bool operator==(const SlotSource&) const = default;
 };
@@ -40,25 +40,25 @@
     std::optional<TimePoint> deadline;
     TimePoint offeredSince {};
     TimePoint retryAt {};
-    std::vector<SlotSource> offers; ///< Where it is offered, while Offered.
-    SlotSource source; ///< Where its slot is from, while Running.
+    std::vector<SlotSource> offers; ///< Where the request is offered; used in the phase Offered.
+    SlotSource source; ///< The source of its slot; used in the phase Running.
     TargetId target;
     std::string targetAddress;
     Cost charged = 0;
     Cost soFar = 0;
-    TimePoint progressTold {};
-    Cost soFarTold = 0;
-    std::uint32_t attempt = 0; ///< Attempts begun.
+    TimePoint progressReportedAt {};
+    Cost soFarReported = 0;
+    std::uint32_t attempt = 0; ///< Number of attempts started.
     std::uint32_t resumes = 0;
-    std::uint64_t relayed = 0; ///< Positions given to the caller.
-    bool everSent = false; ///< A byte may have left for some target.
+    std::uint64_t relayedPositions = 0; ///< Stream positions relayed to the caller.
+    bool mayHaveBeenSent = false; ///< A byte may have been sent to some target.
     bool callerGone = false;
-    bool forwarding = false; ///< In a backoff: to be handed to the holder of its session again.
-    TimePoint forwardUntil {}; ///< Tries to hand it over end then.
+    bool retryForward = false; ///< In a backoff: forward again to the holder of the session.
+    TimePoint forwardDeadline {}; ///< When forwarding is no longer retried.
     std::vector<TargetId> avoid;
 };
 
-/// Owns the requests; queues hold serials.
+/// Owns the requests, keyed by serial number; queues refer to them by serial.
 class RequestTable {
 public:
     Request& add(Request);
@@ -67,10 +67,10 @@
     void remove(const RequestId&);
     std::size_t size() const { return m_requests.size(); }
 
-    /// The deadline bounds waiting only: it stops counting while an attempt runs and counts again in a backoff.
-    void countDeadline(const Request&, bool counts);
+    /// The deadline limits waiting only: it is suspended during an attempt and applies again in a backoff.
+    void setDeadlineActive(const Request&, bool active);
 
-    /// @return requests whose deadline is at or before @p now and that do not run.
+    /// @return requests that are not running and whose deadline is at or before @p now.
     std::vector<std::uint64_t> pastDeadline(TimePoint now) const;
     /// @return requests whose backoff has ended.
     std::vector<std::uint64_t> backoffEnded(TimePoint now) const;
--- a/src/routing/SessionTable.cpp
+++ b/src/routing/SessionTable.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-    /// Planned stops remembered; at 290 restarts a day this covers several days.
-    constexpr std::size_t mostHeirs = 2048;
+    /// Maximum number of planned stops remembered; at 290 restarts a day this covers several days.
+    constexpr std::size_t maxSuccessorEntries = 2048;
 
 } // namespace
 
@@ -19,21 +19,21 @@
 {
     if (m_memory.answersFor(holder))
         return { SessionRoute::Kind::Here, {}, {} };
-    const auto heir = m_heirs.find(holder);
-    const VmId vm = heir == m_heirs.end() ? holder.vm : heir->second;
+    const auto successor = m_successors.find(holder);
+    const VmId vm = successor == m_successors.end() ? holder.vm : successor->second;
     const membership::Member* member = m_view.find(vm);
     if (!member || member->state == membership::MemberState::Dead || member->state == membership::MemberState::Left)
         return {};
-    if (heir == m_heirs.end() && member->summary.life != holder)
+    if (successor == m_successors.end() && member->summary.life != holder)
         return {};
     return { SessionRoute::Kind::Forward, vm, member->summary.callerAddress };
 }
 
-void SessionTable::inheritedBy(const RouterLife& life, const VmId& vm)
+void SessionTable::recordSuccessor(const RouterLife& life, const VmId& vm)
 {
-    if (m_heirs.size() >= mostHeirs)
-        m_heirs.erase(m_heirs.begin());
-    m_heirs[life] = vm;
+    if (m_successors.size() >= maxSuccessorEntries)
+        m_successors.erase(m_successors.begin());
+    m_successors[life] = vm;
 }
 
 } // namespace sagechute::routing
--- a/src/routing/SessionTable.h
+++ b/src/routing/SessionTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Who answers for a session of non-repeatable requests.
+/// Determines which router answers for a session of non-repeatable requests.
 
 #include <sagechute/Delivery.h>
 #include <sagechute/Membership.h>
@@ -10,26 +10,27 @@
 
 namespace sagechute::routing {
 
-/// Where a request of a session has to go.
+/// Where a request of a session must be handled.
 struct SessionRoute {
     enum class Kind { Here, Forward, Gone } kind = Kind::Gone;
     VmId forwardTo;
     std::string address;
 };
 
-/// The lives whose sessions are answered here or elsewhere. Only the life that a session names, or the router that took
-/// over its memory at a planned stop, may run a request of it: any other could not know whether it had run before.
+/// Maps sessions to the routers that answer for them. Only the router incarnation named in a session, or the router
+/// that took over its outcome memory at a planned stop, may run a request of the session: no other can know whether it
+/// has run before.
 class SessionTable {
 public:
     SessionTable(const delivery::OutcomeMemory&, const membership::MembershipView&);
 
     SessionRoute route(const RouterLife& holder) const;
-    void inheritedBy(const RouterLife& life, const VmId& vm);
+    void recordSuccessor(const RouterLife& life, const VmId& vm);
 
 private:
     const delivery::OutcomeMemory& m_memory;
     const membership::MembershipView& m_view;
-    std::map<RouterLife, VmId> m_heirs;
+    std::map<RouterLife, VmId> m_successors;
 };
 
 } // namespace sagechute::routing
--- a/src/routing/StopSequence.cpp
+++ b/src/routing/StopSequence.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-    /// Added to the time that callers keep an answer: gossip needs a moment to spread, and callers' clocks are rough.
-    constexpr Duration keepMargin = std::chrono::seconds(2);
+    /// Added to the time for which callers cache a /v1/locate answer, since gossip needs time to spread and callers'
+    /// clocks are imprecise.
+    constexpr Duration locateKeepMargin = std::chrono::seconds(2);
 
-    /// How long a successor may take to confirm the memory of outcomes before another one is asked.
-    constexpr Duration successorPatience = std::chrono::seconds(2);
-    constexpr std::size_t mostSuccessors = 3;
-    constexpr std::size_t partBytes = 256 << 10;
+    /// How long a successor may take to confirm the outcome memory before another one is tried.
+    constexpr Duration successorTimeout = std::chrono::seconds(2);
+    constexpr std::size_t maxSuccessors = 3;
+    constexpr std::size_t maxPartBytes = 256 << 10;
 
 } // namespace
 
@@ -28,8 +29,8 @@
     if (m_phase != StopPhase::Running)
         return;
     m_phase = StopPhase::Announced;
-    m_closeAt = now + locateKeep + keepMargin;
-    m_giveUpAt = now + m_settings.stopMost;
+    m_closeAt = now + locateKeep + locateKeepMargin;
+    m_drainDeadline = now + m_settings.maxStopTime;
 }
 
 void StopSequence::tick(TimePoint now, std::size_t requests, delivery::OutcomeMemory& memory)
@@ -37,33 +38,33 @@
     if (m_phase == StopPhase::Announced && now >= m_closeAt) {
         m_phase = StopPhase::Closing;
     }
-    // Until here other routers hand over requests of the sessions held here, and only this router can answer them.
-    if (m_phase == StopPhase::Closing && (requests == 0 || now >= m_giveUpAt)) {
+    // Up to this point other routers forward requests of the sessions held here, which only this router can answer.
+    if (m_phase == StopPhase::Closing && (requests == 0 || now >= m_drainDeadline)) {
         m_phase = StopPhase::HandingOver;
         m_outbox.add(StopListening {});
         handOver(now, memory);
         return;
     }
-    if (m_phase == StopPhase::HandingOver && !m_handedOver && now >= m_successorUntil)
+    if (m_phase == StopPhase::HandingOver && !m_handoverDone && now >= m_successorDeadline)
         handOver(now, memory);
-    // A connection that was open before still brings a request now and then. Most are refused at once; one that was
-    // handed to the holder of its session has to come back first.
-    if (m_phase == StopPhase::HandingOver && m_handedOver && (requests == 0 || now >= m_giveUpAt))
+    // A connection that was already open may still deliver a request. Most are refused at once, but one that was
+    // forwarded to the holder of its session has to be answered first.
+    if (m_phase == StopPhase::HandingOver && m_handoverDone && (requests == 0 || now >= m_drainDeadline))
         m_phase = StopPhase::Done;
 }
 
 void StopSequence::handOver(TimePoint now, delivery::OutcomeMemory& memory)
 {
     const auto successor = nextSuccessor();
-    if (!successor || m_asked.size() >= mostSuccessors) {
-        m_handedOver = true;
+    if (!successor || m_triedSuccessors.size() >= maxSuccessors) {
+        m_handoverDone = true;
         return;
     }
-    // Nothing may begin here once the export is made: the successor would call it never begun.
+    // Nothing may start here after the export: the successor would report it as never started.
     memory.close();
-    m_asked.push_back(*successor);
-    m_successorUntil = now + successorPatience;
-    const std::vector<std::string> parts = memory.exportParts(partBytes);
+    m_triedSuccessors.push_back(*successor);
+    m_successorDeadline = now + successorTimeout;
+    const std::vector<std::string> parts = memory.exportParts(maxPartBytes);
     for (std::size_t n = 0; n < parts.size(); ++n) {
         wire::OutcomePartMessage message;
         message.part = static_cast<std::uint32_t>(n);
@@ -73,10 +74,10 @@
     }
 }
 
-void StopSequence::taken(const VmId& from)
+void StopSequence::handoverConfirmed(const VmId& from)
 {
-    if (m_phase == StopPhase::HandingOver && !m_asked.empty() && m_asked.back() == from)
-        m_handedOver = true;
+    if (m_phase == StopPhase::HandingOver && !m_triedSuccessors.empty() && m_triedSuccessors.back() == from)
+        m_handoverDone = true;
 }
 
 std::optional<VmId> StopSequence::nextSuccessor() const
@@ -87,7 +88,7 @@
         const VmId& vm = it.summary.life.vm;
         const bool usable
             = it.state == membership::MemberState::Alive && !it.summary.draining && vm != m_settings.life.vm;
-        if (!usable || std::find(m_asked.begin(), m_asked.end(), vm) != m_asked.end())
+        if (!usable || std::find(m_triedSuccessors.begin(), m_triedSuccessors.end(), vm) != m_triedSuccessors.end())
             continue;
         const std::uint64_t score = stableHash(vm.value, stableHash(m_settings.life.vm.value));
         if (best && score <= bestScore)
--- a/src/routing/StopSequence.h
+++ b/src/routing/StopSequence.h
@@ -9,23 +9,23 @@
 
 enum class StopPhase {
     Running,
-    Announced, ///< Left the answers to "which address"; callers with an old answer are still taken.
-    Closing, ///< No new callers; requests in flight end.
-    HandingOver, ///< The memory of outcomes moves to a successor.
+    Announced, ///< No longer listed by /v1/locate; requests of callers with a cached answer are still accepted.
+    Closing, ///< New requests are refused; requests in flight are completed.
+    HandingOver, ///< The outcome memory is transferred to a successor.
     Done,
 };
 
-/// Leads through a planned stop so that it cuts off nothing: a caller with an old answer to "which address" still gets
-/// in, what is in flight ends, and what was remembered for resends lives on elsewhere.
+/// Runs a planned stop without cutting off any caller: callers with a cached /v1/locate answer are still accepted,
+/// requests in flight are completed, and outcomes remembered for resends are handed to another router.
 class StopSequence {
 public:
     StopSequence(const RouterSettings&, const membership::MembershipView&, Outbox&);
 
     void begin(TimePoint now, std::chrono::milliseconds locateKeep);
 
-    /// @param requests requests still held here.
+    /// @param requests number of requests still held by this router.
     void tick(TimePoint now, std::size_t requests, delivery::OutcomeMemory&);
-    void taken(const VmId& from);
+    void handoverConfirmed(const VmId& from);
 
     StopPhase phase() const { return m_phase; }
     bool draining() const { return m_phase != StopPhase::Running; }
@@ -40,10 +40,10 @@
     Outbox& m_outbox;
     StopPhase m_phase = StopPhase::Running;
     TimePoint m_closeAt {};
-    TimePoint m_giveUpAt {};
-    TimePoint m_successorUntil {};
-    bool m_handedOver = false; ///< Or there is nothing to hand over, or nobody to take it.
-    std::vector<VmId> m_asked;
+    TimePoint m_drainDeadline {};
+    TimePoint m_successorDeadline {};
+    bool m_handoverDone = false; ///< Also true when there is nothing to hand over or no successor is available.
+    std::vector<VmId> m_triedSuccessors;
 };
 
 } // namespace sagechute::routing
--- a/src/routing/TargetGuard.cpp
+++ b/src/routing/TargetCircuitBreaker.cpp
@@ -1,10 +1,10 @@
-#include "routing/TargetGuard.h"
+#include "routing/TargetCircuitBreaker.h"
 
 #include <algorithm>
 
 namespace sagechute::routing {
 
-bool TargetGuard::report(TimePoint now, const TargetId& target, wire::TargetHealth health)
+bool TargetCircuitBreaker::report(TimePoint now, const TargetId& target, wire::TargetHealth health)
 {
     if (health == wire::TargetHealth::Good) {
         m_records.erase(target);
@@ -12,26 +12,26 @@
     }
     Record& record = m_records[target];
     ++record.failures;
-    const unsigned tolerated = health == wire::TargetHealth::Unreachable ? 0 : brokenTolerated;
+    const unsigned tolerated = health == wire::TargetHealth::Unreachable ? 0 : toleratedBrokenAnswers;
     if (record.blocked || record.failures <= tolerated)
         return record.blocked;
     record.blocked = true;
-    record.until = now + std::min(longestPause, firstPause * (1 << std::min(record.pauses, 4U)));
-    ++record.pauses;
+    record.blockedUntil = now + std::min(maxBlockTime, initialBlockTime * (1 << std::min(record.trips, 4U)));
+    ++record.trips;
     return true;
 }
 
-bool TargetGuard::blocked(const TargetId& target) const
+bool TargetCircuitBreaker::blocked(const TargetId& target) const
 {
     auto it = m_records.find(target);
     return it != m_records.end() && it->second.blocked;
 }
 
-std::vector<TargetId> TargetGuard::released(TimePoint now)
+std::vector<TargetId> TargetCircuitBreaker::released(TimePoint now)
 {
     std::vector<TargetId> result;
     for (auto& [target, record] : m_records) {
-        if (!record.blocked || record.until > now)
+        if (!record.blocked || record.blockedUntil > now)
             continue;
         record.blocked = false;
         result.push_back(target);
--- a/src/routing/TargetGuard.h
+++ b/src/routing/TargetCircuitBreaker.h
@@ -11,14 +11,13 @@
 namespace sagechute::routing {
 
 /// Circuit breaker per target. Without it a target that refuses connections looks like the one with the most free
-/// slots, and the owner would grant it everything that waits: one would notice a storm of retries while the other
-/// targets idle.
-class TargetGuard {
+/// slots, and the owner would grant it everything that waits: a storm of retries while the other targets idle.
+class TargetCircuitBreaker {
 public:
-    static constexpr Duration firstPause = std::chrono::milliseconds(500);
-    static constexpr Duration longestPause = std::chrono::seconds(8);
-    static constexpr unsigned brokenTolerated
-        = 1; ///< One broken answer can be the request's own fault; two in a row are the target's.
+    static constexpr Duration initialBlockTime = std::chrono::milliseconds(500);
+    static constexpr Duration maxBlockTime = std::chrono::seconds(8);
+    /// One broken answer can be the request's own fault; two in a row are the target's.
+    static constexpr unsigned toleratedBrokenAnswers = 1;
 
     /// @return whether the target has to be kept from new work now.
     bool report(TimePoint now, const TargetId&, wire::TargetHealth);
@@ -30,9 +29,9 @@
 private:
     struct Record {
         unsigned failures = 0;
-        unsigned pauses = 0;
+        unsigned trips = 0;
         bool blocked = false;
-        TimePoint until {};
+        TimePoint blockedUntil {};
     };
     std::map<TargetId, Record> m_records;
 };
--- a/tests/FleetFake.cpp
+++ b/tests/FleetFake.cpp
@@ -13,18 +13,18 @@
 
     constexpr Duration tickInterval = 10ms;
     constexpr Duration logInterval = 100ms;
-    constexpr Duration resetNoticed = 5ms;
+    constexpr Duration resetDetectionDelay = 5ms;
 
-    /// A peer that answers nothing is pinged after two seconds and disconnected after two more.
-    constexpr Duration pauseNoticed = 4s;
+    /// A peer that does not answer is pinged after two seconds and disconnected after two more.
+    constexpr Duration pauseDetectionDelay = 4s;
 
 } // namespace
 
-std::string_view toString(Breach breach)
+std::string_view toString(Violation violation)
 {
-    static constexpr std::string_view names[] = { "ended twice", "never ended", "doubled run", "doubled resend",
-        "false not-run", "foreign answer", "spliced answer", "work at leaving", "slot leak" };
-    return names[static_cast<std::size_t>(breach)];
+    static constexpr std::string_view names[] = { "ended twice", "never ended", "duplicate run", "duplicate resend run",
+        "false not-run", "wrong answer", "spliced answer", "work on leaving target", "slot leak" };
+    return names[static_cast<std::size_t>(violation)];
 }
 
 FleetFake::FleetFake(Options options)
@@ -113,12 +113,12 @@
     node.core = routing::RouterCore::make(node.settings, std::make_unique<SeededRandom>(m_random.next()));
     node.exited = false;
     node.reading = false;
-    node.held.clear();
+    node.deferredEvents.clear();
 }
 
-void FleetFake::at(Duration delay, std::function<void()> what)
+void FleetFake::at(Duration delay, std::function<void()> callback)
 {
-    m_queue.push({ m_now + delay, ++m_order, std::move(what) });
+    m_queue.push({ m_now + delay, ++m_order, std::move(callback) });
 }
 
 void FleetFake::run(Duration duration)
@@ -133,7 +133,7 @@
             if (onStep)
                 onStep();
         }
-        next.what();
+        next.callback();
     }
     m_now = until;
 }
@@ -148,7 +148,7 @@
     counts[*node] += waits ? 1 : -1;
 }
 
-// Counted per pool: a slot that is free while a request of a running router waits for the pool.
+// Accounted per pool: time of a free slot while a request of a running router waits for the pool.
 void FleetFake::accountIdle()
 {
     const Duration passed = m_now - m_lastAccounted;
@@ -156,7 +156,7 @@
     for (const auto& [pool, counts] : m_waitingCounts) {
         std::uint32_t waiting = 0;
         for (std::size_t n = 0; n < counts.size(); ++n)
-            waiting += runs(n) ? counts[n] : 0;
+            waiting += isRunning(n) ? counts[n] : 0;
         if (!waiting)
             continue;
         std::uint32_t free = 0;
@@ -173,7 +173,7 @@
 void FleetFake::tickAll()
 {
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
-        if (runs(n))
+        if (isRunning(n))
             deliver(n, routing::Tick {});
     }
     at(tickInterval, [this] { tickAll(); });
@@ -183,14 +183,14 @@
 {
     for (std::size_t n = 0; n < m_nodes.size(); ++n) {
         Node& node = m_nodes[n];
-        if (!runs(n) || node.reading)
+        if (!isRunning(n) || node.reading)
             continue;
         if (!node.log) {
-            deliver(n, routing::LogFailed {});
+            deliver(n, routing::LogReadFailed {});
             continue;
         }
         routing::LogRead read;
-        read.asked = m_now;
+        read.startedAt = m_now;
         const LogOffset next = node.core->nextLogOffset();
         if (next <= m_log.size())
             read.records.assign(m_log.begin() + static_cast<std::ptrdiff_t>(next - 1), m_log.end());
@@ -211,7 +211,7 @@
     if (!node.core)
         return;
     if (node.paused) {
-        node.held.push_back(std::move(event));
+        node.deferredEvents.push_back(std::move(event));
         return;
     }
     trace(n, event);
@@ -232,10 +232,10 @@
 {
     note("pause of " + m_nodes[n].settings.life.vm.value);
     m_nodes[n].paused = true;
-    at(pauseNoticed, [this, n, pauses = ++m_nodes[n].pauses] {
+    at(pauseDetectionDelay, [this, n, pauses = ++m_nodes[n].pauses] {
         for (std::size_t other = 0; other < m_nodes.size(); ++other) {
             if (other != n && m_nodes[n].paused && m_nodes[n].pauses == pauses)
-                down(std::minmax(n, other));
+                breakLink(std::minmax(n, other));
         }
     });
 }
@@ -244,8 +244,8 @@
 {
     note(m_nodes[n].settings.life.vm.value + " goes on");
     m_nodes[n].paused = false;
-    std::vector<routing::Event> held = std::exchange(m_nodes[n].held, {});
-    for (routing::Event& it : held)
+    std::vector<routing::Event> deferredEvents = std::exchange(m_nodes[n].deferredEvents, {});
+    for (routing::Event& it : deferredEvents)
         deliver(n, std::move(it));
 }
 
@@ -265,8 +265,8 @@
             continue;
         Link& it = link(n, other);
         std::erase_if(it.waiting, [n](const Link::Waiting& message) { return message.from == n; });
-        it.isDoomed = false;
-        doom(std::minmax(n, other), resetNoticed);
+        it.isBreaking = false;
+        scheduleBreak(std::minmax(n, other), resetDetectionDelay);
     }
 }
 
@@ -279,7 +279,7 @@
     note("start of " + node.settings.life.vm.value);
     for (std::size_t other = 0; other < m_nodes.size(); ++other) {
         if (other != n)
-            down(std::minmax(n, other));
+            breakLink(std::minmax(n, other));
     }
     bootNode(n);
 }
@@ -331,7 +331,7 @@
     arrival.deadlineIn = send.deadline;
     if (send.session)
         arrival.resend = delivery::ResendKey { arrival.customer, *send.session, send.sequence };
-    if (send.session && m_options.sabotage == Sabotage::ResendRunsAnywhere)
+    if (send.session && m_options.injectedBug == InjectedBug::ResendRunsAnywhere)
         arrival.resend->session
             = delivery::makeSession(node.settings.life, delivery::parseSession(*send.session)->serial);
     setWaiting(id, true);
@@ -339,11 +339,11 @@
     return id;
 }
 
-void FleetFake::callerLeaves(const RequestId& id)
+void FleetFake::disconnectCaller(const RequestId& id)
 {
     m_records.at(id).left = true;
     setWaiting(id, false);
-    deliverTo(id.origin, routing::CallerGone { id });
+    deliverTo(id.origin, routing::CallerDisconnected { id });
 }
 
 std::string FleetFake::session(std::size_t n)
@@ -355,17 +355,18 @@
 
 void FleetFake::act(std::size_t, routing::Answer& action)
 {
-    const CallerEnd how { action.answer.outcome, ErrorKind::Internal, action.answer.body, m_now };
-    end(action.id, how);
-    if (m_options.sabotage == Sabotage::DoublesEnds)
-        end(action.id, how);
+    const CallerEnd callerEnd { action.answer.outcome, ErrorKind::Internal, action.answer.body, m_now };
+    end(action.id, callerEnd);
+    if (m_options.injectedBug == InjectedBug::DuplicatesEnds)
+        end(action.id, callerEnd);
 }
 
-// Checked where it is decided: on its way back through another router it may be overtaken by a later send that runs.
+// Checked at the router that decides: while the refusal travels back through another router, a later send may already
+// have run.
 void FleetFake::act(std::size_t, routing::Refuse& action)
 {
     if (action.outcome == Outcome::NotRun && m_identityRuns.contains(identityOf(action.id)))
-        breach(Breach::FalseNotRun, toString(action.id) + " " + std::string(action.error.message()));
+        reportViolation(Violation::FalseNotRun, toString(action.id) + " " + std::string(action.error.message()));
     end(action.id, { action.outcome, errorKind(action.error), std::string(action.error.message()), m_now });
 }
 
@@ -375,7 +376,8 @@
     const auto whole = std::chrono::duration_cast<std::chrono::milliseconds>(m_sends.at(action.id).cost).count();
     if (record != m_records.end() && action.outcome == Outcome::Completed
         && record->second.positions != static_cast<std::uint64_t>(whole))
-        breach(Breach::SplicedAnswer, toString(action.id) + " ended at " + std::to_string(record->second.positions));
+        reportViolation(
+            Violation::SplicedAnswer, toString(action.id) + " ended at " + std::to_string(record->second.positions));
     end(action.id, { action.outcome, action.error.ok() ? ErrorKind::Internal : errorKind(action.error), {}, m_now });
 }
 
@@ -384,7 +386,7 @@
     m_nodes[n].exited = true;
     for (const auto& [id, record] : m_records) {
         if (id.origin == m_nodes[n].settings.life && record.ends.empty() && !record.left)
-            breach(Breach::NeverEnded, toString(id) + " was cut off by a planned stop");
+            reportViolation(Violation::NeverEnded, toString(id) + " was cut off by a planned stop");
     }
     at(2 * networkDelay, [this, n, life = m_nodes[n].settings.life] {
         if (m_nodes[n].settings.life == life)
@@ -392,27 +394,28 @@
     });
 }
 
-void FleetFake::end(const RequestId& id, CallerEnd how)
+void FleetFake::end(const RequestId& id, CallerEnd callerEnd)
 {
     setWaiting(id, false);
     const auto found = m_records.find(id);
     if (found == m_records.end()) {
-        endForward(id, routing::AttemptEnd::Completed, how);
+        endForward(id, routing::AttemptEnd::Completed, callerEnd);
         return;
     }
     CallerRecord& record = found->second;
     if (!record.ends.empty())
-        breach(Breach::EndedTwice, toString(id));
-    if (how.outcome == Outcome::Completed && !how.body.empty() && how.body != "answer of " + record.identity)
-        breach(Breach::ForeignAnswer, toString(id) + " got " + how.body);
-    record.ends.push_back(std::move(how));
+        reportViolation(Violation::EndedTwice, toString(id));
+    if (callerEnd.outcome == Outcome::Completed && !callerEnd.body.empty()
+        && callerEnd.body != "answer of " + record.identity)
+        reportViolation(Violation::WrongAnswer, toString(id) + " got " + callerEnd.body);
+    record.ends.push_back(std::move(callerEnd));
 }
 
-void FleetFake::breach(Breach breach, const std::string& detail)
+void FleetFake::reportViolation(Violation violation, const std::string& detail)
 {
-    m_breaches.insert(breach);
+    m_violations.insert(violation);
     if (m_details.size() < 600)
-        m_details += std::string(toString(breach)) + ": " + detail + "\n";
+        m_details += std::string(toString(violation)) + ": " + detail + "\n";
 }
 
 std::size_t FleetFake::ownerOf(const std::string& pool) const
@@ -428,13 +431,13 @@
     return m_nodes.size();
 }
 
-void FleetFake::checkQuiet()
+void FleetFake::checkQuiescent()
 {
     for (const auto& [id, record] : m_records) {
         const auto n = nodeByVm(id.origin.vm);
         const bool lives = n && m_nodes[*n].core && m_nodes[*n].settings.life == id.origin;
         if (lives && record.ends.empty() && !record.left)
-            breach(Breach::NeverEnded, toString(id) + " of " + record.customer);
+            reportViolation(Violation::NeverEnded, toString(id) + " of " + record.customer);
     }
     std::map<std::string, std::int64_t> missing;
     for (const auto& [name, target] : m_targets)
@@ -448,7 +451,7 @@
     }
     for (const auto& [pool, slots] : missing) {
         if (slots)
-            breach(Breach::SlotLeak, pool + " lacks " + std::to_string(slots));
+            reportViolation(Violation::SlotLeak, pool + " has unaccounted slots: " + std::to_string(slots));
     }
 }
 
--- a/tests/FleetFake.h
+++ b/tests/FleetFake.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Several router cores under one virtual clock, joined by a fake network, with fake targets, callers and log. Small on
-/// purpose: it provokes failures at the ports, and counts broken promises from what it has seen itself.
+/// Several router cores under one virtual clock, connected by a fake network, with fake targets, callers and log. It
+/// injects failures at the ports of the core and checks the invariants against its own observations.
 
 #include <sagechute/Routing.h>
 
@@ -17,64 +17,66 @@
 
 namespace sagechute::testing {
 
-/// Promises of the product, as the fake checks them.
-enum class Breach {
+/// Violations of the invariants that the fake checks.
+enum class Violation {
     EndedTwice,
-    NeverEnded, ///< A request whose router lives still has no end after all has healed.
-    DoubledRun, ///< A request that may not be repeated ran twice.
-    DoubledResend, ///< All sends of one number in a session together ran twice.
-    FalseNotRun, ///< It ran, and its caller was told that it did not.
-    ForeignAnswer, ///< A caller got the answer of another request.
+    NeverEnded, ///< A request whose router is still running has no end after all faults have been healed.
+    DuplicateRun, ///< A request that may not be repeated ran twice.
+    DuplicateResendRun, ///< The sends of one sequence number in a session ran more than once in total.
+    FalseNotRun, ///< A request ran although its caller was told that it did not.
+    WrongAnswer, ///< A caller got the answer of another request.
     SplicedAnswer, ///< A streamed answer has a gap, a repetition, or parts of two runs.
-    WorkAtLeaving, ///< A target got new work more than leavingLimit after the log took its state "leaving".
-    SlotLeak, ///< With nothing running, an owner takes slots for used, or a cell has no owner or two.
+    WorkOnLeavingTarget, ///< A target got new work more than leavingLimit after the log recorded its state as
+                         ///< "leaving".
+    SlotLeak, ///< With nothing running, an owner counts slots as used, or a cell has no owner or two owners.
 };
 
-std::string_view toString(Breach);
+std::string_view toString(Violation);
 
-/// Deliberate faults, each put between the ports and the code under test, to show that a property can fail.
-enum class Sabotage {
+/// Bugs injected between the ports and the code under test, to show that each property can fail.
+enum class InjectedBug {
     None,
-    RunReportedUnsent, ///< A broken attempt is reported as one of which no byte left.
-    ResendRunsAnywhere, ///< Whoever gets a resend takes the session for its own.
-    LosesEnds, ///< Every tenth end of an attempt is lost.
-    LosesMessages, ///< Every fifth message between routers is lost, and the stream stays up.
-    DoublesEnds, ///< Answers are given to the caller twice.
-    CrossedPasses, ///< A crossed answer is reported as complete.
+    RunReportedUnsent, ///< A broken attempt is reported as one that sent nothing.
+    ResendRunsAnywhere, ///< Every router that gets a resend treats the session as its own.
+    LosesAttemptEnds, ///< The end of every tenth attempt is lost.
+    LosesMessages, ///< Every fifth message between routers is lost while the stream stays up.
+    DuplicatesEnds, ///< Answers are given to the caller twice.
+    AcceptsCrossedAnswers, ///< A crossed answer is reported as completed.
     ForgetsPositions, ///< A broken stream is reported as if nothing had been relayed.
 };
 
-/// How one request ended for its caller.
+/// How a request ended for its caller.
 struct CallerEnd {
     Outcome outcome = Outcome::Unknown;
-    ErrorKind kind = ErrorKind::Internal; ///< Meaningless for Completed.
+    ErrorKind kind = ErrorKind::Internal; ///< Not meaningful for Completed.
     std::string body;
     TimePoint at {};
 };
 
-/// One send of a request as its caller sees it.
+/// A send of a request as seen by its caller.
 struct CallerRecord {
     RequestId id;
     std::string customer;
-    std::string identity; ///< What the answer has to name: the same for all sends of one number in a session.
+    /// What the answer has to contain; the same for all sends of one sequence number in a session.
+    std::string identity;
     bool repeatable = true;
     bool resendable = false;
     bool left = false;
     TimePoint sent {};
     std::vector<CallerEnd> ends;
-    std::uint64_t positions = 0; ///< Of its streamed answer, relayed so far.
+    std::uint64_t positions = 0; ///< Positions of its streamed answer relayed so far.
 };
 
 /// What a target does with its next request.
 enum class Fault {
     None,
     Refuse, ///< The connection is refused.
-    Stale, ///< A pooled connection turns out to be closed; on a new one nothing is wrong.
-    DropReply, ///< It runs, and the answer is lost.
-    Crossed, ///< It runs, and another request's answer comes.
-    BreakStream, ///< The stream breaks in the middle and can be taken up again.
-    BreakForGood, ///< The stream breaks in the middle, and the target forgets it.
-    Hang, ///< Nothing comes for as long as the router waits.
+    Stale, ///< A pooled connection turns out to be closed; a new connection works.
+    DropReply, ///< The request runs and the answer is lost.
+    Crossed, ///< The request runs and the answer of another request arrives.
+    BreakStream, ///< The stream breaks halfway and can be resumed.
+    BreakForGood, ///< The stream breaks halfway and cannot be resumed.
+    Hang, ///< No data arrives within the router's time limit.
     Reject,
 };
 
@@ -85,20 +87,20 @@
     std::uint32_t slots = 1;
     bool alive = true;
     std::uint32_t running = 0;
-    std::deque<std::uint64_t> queued; ///< It admits whatever comes; what finds no free slot waits here.
-    std::size_t mostAdmitted = 0;
+    std::deque<std::uint64_t> queued; ///< The target accepts every request; those without a free slot wait here.
+    std::size_t maxAdmitted = 0;
     std::uint64_t started = 0;
-    std::deque<Fault> faults; ///< One for each request to come.
+    std::deque<Fault> faults; ///< One for each of the next requests.
     std::optional<TimePoint> leavingSince;
     Duration lastStartAfterLeaving { -1 };
-    std::set<std::string> known; ///< Streams that can be taken up again.
+    std::set<std::string> resumableStreams; ///< Identities of the streams that can be resumed.
 };
 
 /// A send of a request.
 struct Send {
     std::string customer;
     std::string service = "model";
-    Duration cost = std::chrono::milliseconds(100); ///< Service time; its milliseconds are the cost.
+    Duration cost = std::chrono::milliseconds(100); ///< Service time; its length in milliseconds is the cost.
     Cost hint = 0;
     bool streamed = false;
     std::optional<bool> repeatable;
@@ -114,9 +116,9 @@
         scheduling::Policy policy = scheduling::Policy::Cells;
         std::uint32_t cellsPerPool = 0;
         std::uint64_t seed = 1;
-        double loss = 0; ///< Of datagrams; as many are doubled.
-        Duration jitter {}; ///< Most that a datagram is late: they overtake each other.
-        Sabotage sabotage = Sabotage::None;
+        double loss = 0; ///< Fraction of datagrams lost; the same fraction is duplicated.
+        Duration jitter {}; ///< Maximum extra delay of a datagram; datagrams may be reordered.
+        InjectedBug injectedBug = InjectedBug::None;
         std::function<void(routing::RouterSettings&)> adjust {};
     };
 
@@ -125,21 +127,21 @@
 
     explicit FleetFake(Options);
 
-    // Configuration goes through the log like everything else.
+    // Configuration is distributed through the log.
     void declareCustomer(const std::string& name, double weight = 1);
     void declareService(const std::string& name, const std::string& pool, bool repeatable);
     void declareTarget(const std::string& name, const std::string& pool, std::uint32_t slots, bool leaving = false);
 
-    /// Starts the cores, and lets them find each other.
+    /// Starts the cores and lets them discover each other.
     void start();
     void run(Duration);
     TimePoint now() const { return m_now; }
 
     RequestId send(std::size_t router, const Send&);
-    void callerLeaves(const RequestId&);
+    void disconnectCaller(const RequestId&);
     std::string session(std::size_t router);
 
-    // Failures. "Streams" are all TCP between routers; datagrams still pass.
+    // Failures. "Streams" are all TCP connections between routers; datagrams are not affected.
     void crash(std::size_t router);
     void restart(std::size_t router);
     void pause(std::size_t router);
@@ -150,7 +152,7 @@
     void isolate(std::size_t router, bool cut = true);
     void setLogReachable(std::size_t router, bool reachable) { m_nodes[router].log = reachable; }
     void setLogDelay(std::size_t router, Duration delay) { m_nodes[router].logDelay = delay; }
-    void calmDatagrams() { m_options.loss = 0; }
+    void stopDatagramLoss() { m_options.loss = 0; }
     void stop(std::size_t router);
     void killTarget(const std::string&);
     void reviveTarget(const std::string& name) { m_targets.at(name).alive = true; }
@@ -160,9 +162,9 @@
     const std::map<RequestId, CallerRecord>& records() const { return m_records; }
     Duration costOf(const RequestId& id) const { return m_sends.at(id).cost; }
     std::size_t runsOf(const RequestId& id) const { return m_runs.contains(id) ? m_runs.at(id) : 0; }
-    std::size_t sendsInAll() const { return m_starts; } ///< Attempts that reached a target's door.
+    std::size_t totalAttempts() const { return m_starts; } ///< Attempts that reached a target, including refused ones.
 
-    /// @return the cost of what targets have begun to run for a customer.
+    /// @return the cost of the requests that targets have started for a customer.
     double serviceOf(const std::string& customer) const
     {
         return m_service.contains(customer) ? m_service.at(customer) : 0;
@@ -172,26 +174,30 @@
     const RouterLife& life(std::size_t router) const { return m_nodes[router].settings.life; }
     routing::RouterStatus status(std::size_t router) const { return m_nodes[router].core->status(); }
     bool exited(std::size_t router) const { return m_nodes[router].exited; }
-    std::uint64_t controlBytes() const { return m_controlBytes; } ///< Messages with a frame header each.
+    std::uint64_t controlBytes() const
+    {
+        return m_controlBytes;
+    } ///< Message payloads plus one frame header for each message.
     std::uint64_t messagesOf(std::string_view kind) const;
 
-    /// @return the router that owns the first cell of a pool, as most see it.
+    /// @return the first running router that owns a cell of a pool.
     std::size_t ownerOf(const std::string& pool) const;
 
-    /// Records what holds only once all has healed and ended: NeverEnded and SlotLeak.
-    void checkQuiet();
-    const std::set<Breach>& breaches() const { return m_breaches; }
-    const std::string& details() const { return m_details; } ///< One line for each breach.
+    /// Checks what holds only once all faults are healed and all requests have ended: NeverEnded and SlotLeak.
+    void checkQuiescent();
+    const std::set<Violation>& violations() const { return m_violations; }
+    const std::string& details() const { return m_details; } ///< One line for each violation.
 
-    /// Slot time that was free while a request of a running router waited for that pool, and all slot time so far.
+    /// Free slot time while a request of a running router waited for that pool, and the total slot time during such
+    /// waiting.
     Duration idleWhileWaiting() const { return m_idleWhileWaiting; }
     Duration slotTimeWhileWaiting() const { return m_slotTimeWhileWaiting; }
 
-    /// Called with the time whenever it moves on.
+    /// Called whenever the virtual clock has advanced.
     std::function<void()> onStep;
 
-    /// From now on the golden text is written.
-    void transcribe() { m_transcribes = true; }
+    /// Starts writing the golden transcript.
+    void startTranscript() { m_isTranscribing = true; }
     const std::string& transcript() const { return m_transcript; }
     void note(const std::string& line);
 
@@ -207,15 +213,15 @@
         std::uint64_t serial = 0;
         std::uint64_t sessions = 0;
         std::uint64_t pauses = 0;
-        std::vector<routing::Event> held; ///< What arrives during a pause.
+        std::vector<routing::Event> deferredEvents; ///< Events that arrive during a pause.
     };
     struct Pending {
         TimePoint at;
         std::uint64_t order;
-        std::function<void()> what;
+        std::function<void()> callback;
         bool operator>(const Pending& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
     };
-    /// What of one attempt the target sees.
+    /// An attempt as the target sees it.
     struct Run {
         std::size_t router = 0;
         routing::StartAttempt start;
@@ -225,7 +231,7 @@
         std::optional<TimePoint> started;
         bool cancelled = false;
     };
-    /// All that passes between two routers by TCP: one ordered stream.
+    /// The TCP stream between two routers: ordered in each direction.
     struct Link {
         struct Waiting {
             std::size_t from;
@@ -233,7 +239,7 @@
         };
         bool isUp = false;
         bool isTrying = false;
-        bool isDoomed = false; ///< Something was lost on it: it will be found broken.
+        bool isBreaking = false; ///< A message was lost on it; the break will be detected.
         std::uint64_t epoch = 0;
         std::optional<TimePoint> tryingSince;
         std::deque<Waiting> waiting;
@@ -242,7 +248,7 @@
     struct Forward {
         std::size_t from = 0;
         std::size_t to = 0;
-        RequestId relayed; ///< The identity at the relaying router.
+        RequestId relayed; ///< The request's id at the forwarding router.
         std::uint32_t attempt = 0;
     };
 
@@ -262,11 +268,11 @@
     void readLogs();
     void append(const std::string& kind, const std::string& name, const nlohmann::json& spec);
     void end(const RequestId&, CallerEnd);
-    void breach(Breach, const std::string& detail);
+    void reportViolation(Violation, const std::string& detail);
     void accountIdle();
     void setWaiting(const RequestId&, bool);
     std::string identityOf(const RequestId&) const;
-    bool runs(std::size_t node) const { return m_nodes[node].core && !m_nodes[node].paused; }
+    bool isRunning(std::size_t node) const { return m_nodes[node].core && !m_nodes[node].paused; }
     std::optional<std::size_t> nodeByVm(const VmId&) const;
     std::optional<std::size_t> nodeByAddress(const std::string&) const;
 
@@ -278,9 +284,9 @@
     bool streamsConnected(std::size_t, std::size_t) const;
     Link& link(std::size_t one, std::size_t other) { return m_links[std::minmax(one, other)]; }
     void transmit(std::size_t from, std::size_t to, std::string bytes);
-    void tryLink(Pair);
-    void doom(Pair, Duration noticed);
-    void down(Pair);
+    void connectLink(Pair);
+    void scheduleBreak(Pair, Duration delay);
+    void breakLink(Pair);
     void endForwardsTo(std::size_t node);
     void endForward(const RequestId& atHolder, routing::AttemptEnd, const CallerEnd&);
 
@@ -307,34 +313,34 @@
     std::vector<config::LogRecord> m_log;
     std::map<std::string, LogOffset> m_versions;
     std::map<RequestId, CallerRecord> m_records;
-    std::map<RequestId, Send> m_sends; ///< By the identity at the router that runs it, too.
+    std::map<RequestId, Send> m_sends; ///< Also keyed by the request's id at the router that runs it.
     std::map<RequestId, std::size_t> m_runs;
     std::map<std::string, std::size_t> m_identityRuns;
     std::map<std::string, double> m_service;
     std::map<std::uint64_t, Run> m_active;
-    std::map<RequestId, Forward> m_forwards; ///< By the identity at the holder.
+    std::map<RequestId, Forward> m_forwards; ///< Keyed by the request's id at the holder of the session.
     std::map<Pair, Link> m_links;
     std::set<Pair> m_cuts;
     std::set<Pair> m_streamCuts;
     std::map<std::string, std::string> m_servicePools;
-    std::set<RequestId> m_waiting; ///< Never begun and not ended.
-    std::map<std::string, std::vector<std::uint32_t>> m_waitingCounts; ///< By pool and router.
+    std::set<RequestId> m_waiting; ///< Neither started nor ended.
+    std::map<std::string, std::vector<std::uint32_t>> m_waitingCounts; ///< By pool name, then by router index.
     std::map<std::string, std::uint64_t> m_messages; ///< By kind.
     std::uint64_t m_controlBytes = 0;
     std::uint64_t m_runSerial = 0;
     std::uint64_t m_starts = 0;
-    std::uint64_t m_sabotaged = 0;
+    std::uint64_t m_bugCounter = 0;
     Duration m_idleWhileWaiting {};
     Duration m_slotTimeWhileWaiting {};
     TimePoint m_lastAccounted {};
-    std::set<Breach> m_breaches;
+    std::set<Violation> m_violations;
     std::string m_details;
-    bool m_transcribes = false;
+    bool m_isTranscribing = false;
     std::string m_transcript;
 };
 
-/// Compares with tests/golden/NAME, or writes it when the environment has SAGECHUTE_WRITE_GOLDEN.
-/// @return whether they are the same; the difference's first line is in @p difference.
+/// Compares with tests/golden/NAME, or writes that file if the environment has SAGECHUTE_WRITE_GOLDEN.
+/// @return whether they are equal; if not, @p difference holds the first line that differs.
 bool matchesGolden(const std::string& name, const std::string& text, std::string& difference);
 
 } // namespace sagechute::testing
--- a/tests/FleetNetwork.cpp
+++ b/tests/FleetNetwork.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The network between the fake's routers: one ordered stream for each pair, datagrams, and requests handed over.
+/// The network between the fake's routers: one ordered stream per pair, datagrams, and forwarded requests.
 
 #include "FleetFake.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-    constexpr Duration silenceNoticed = 2s; ///< By the pings of a stream.
+    constexpr Duration silenceDetectionDelay = 2s; ///< Detected by the pings of a stream.
     constexpr Duration connectRetry = 100ms;
     constexpr Duration connectTimeout = 1s;
-    constexpr std::uint64_t lostEvery = 5; ///< Sabotage::LosesMessages.
+    constexpr std::uint64_t messageLossInterval = 5; ///< Used by InjectedBug::LosesMessages.
 
 } // namespace
 
@@ -45,7 +45,7 @@
 void FleetFake::breakStream(std::size_t one, std::size_t other)
 {
     note("the stream between " + life(one).vm.value + " and " + life(other).vm.value + " breaks");
-    down(std::minmax(one, other));
+    breakLink(std::minmax(one, other));
 }
 
 bool FleetFake::connected(std::size_t one, std::size_t other) const
@@ -63,11 +63,11 @@
     const auto to = nodeByVm(action.to);
     if (!to || *to == n)
         return;
-    if (m_options.sabotage == Sabotage::LosesMessages && ++m_sabotaged % lostEvery == 0)
+    if (m_options.injectedBug == InjectedBug::LosesMessages && ++m_bugCounter % messageLossInterval == 0)
         return;
     Link& it = link(n, *to);
     if (action.address.empty() && !it.isUp)
-        return; // Nobody can connect to an address that is not known.
+        return; // Nobody can connect to an unknown address.
     if (it.isUp) {
         transmit(n, *to, std::move(action.bytes));
         return;
@@ -77,10 +77,10 @@
         return;
     it.isTrying = true;
     it.tryingSince = m_now;
-    at(networkDelay, [this, pair = Pair(std::minmax(n, *to))] { tryLink(pair); });
+    at(networkDelay, [this, pair = Pair(std::minmax(n, *to))] { connectLink(pair); });
 }
 
-// What is lost on a stream is noticed: it breaks some time later, and both ends are told.
+// A loss on a stream is always detected: the stream breaks some time later, and both ends are notified.
 void FleetFake::transmit(std::size_t from, std::size_t to, std::string bytes)
 {
     const Pair pair = std::minmax(from, to);
@@ -92,11 +92,11 @@
             if (streamsConnected(from, to))
                 deliverTo(receiver, routing::PeerMessageReceived { sender, bytes });
             else
-                doom(pair, silenceNoticed);
+                scheduleBreak(pair, silenceDetectionDelay);
         });
 }
 
-void FleetFake::tryLink(Pair pair)
+void FleetFake::connectLink(Pair pair)
 {
     const auto [one, other] = pair;
     Link& it = m_links[pair];
@@ -104,10 +104,10 @@
         it.isTrying = false;
         return;
     }
-    if (runs(one) && runs(other) && streamsConnected(one, other)) {
+    if (isRunning(one) && isRunning(other) && streamsConnected(one, other)) {
         it.isUp = true;
         it.isTrying = false;
-        it.isDoomed = false;
+        it.isBreaking = false;
         ++it.epoch;
         for (Link::Waiting& message : std::exchange(it.waiting, {}))
             transmit(message.from, message.from == one ? other : one, std::move(message.bytes));
@@ -126,28 +126,28 @@
                 deliver(from, routing::PeerDown { life(to) });
         }
     }
-    at(connectRetry, [this, pair] { tryLink(pair); });
+    at(connectRetry, [this, pair] { connectLink(pair); });
 }
 
-void FleetFake::doom(Pair pair, Duration noticed)
+void FleetFake::scheduleBreak(Pair pair, Duration delay)
 {
     Link& it = m_links[pair];
-    if (!it.isUp || it.isDoomed)
+    if (!it.isUp || it.isBreaking)
         return;
-    it.isDoomed = true;
-    at(noticed, [this, pair, epoch = it.epoch] {
+    it.isBreaking = true;
+    at(delay, [this, pair, epoch = it.epoch] {
         if (m_links[pair].epoch == epoch)
-            down(pair);
+            breakLink(pair);
     });
 }
 
-void FleetFake::down(Pair pair)
+void FleetFake::breakLink(Pair pair)
 {
     Link& it = m_links[pair];
     if (!it.isUp)
         return;
     it.isUp = false;
-    it.isDoomed = false;
+    it.isBreaking = false;
     ++it.epoch;
     deliver(pair.first, routing::PeerDown { life(pair.second) });
     deliver(pair.second, routing::PeerDown { life(pair.first) });
@@ -172,8 +172,8 @@
     const auto to = nodeByAddress(action.address);
     if (!to || !connected(n, *to))
         return;
-    const double luck = m_random.fraction();
-    const int copies = luck < m_options.loss ? 0 : luck < 2 * m_options.loss ? 2 : 1;
+    const double sample = m_random.fraction();
+    const int copies = sample < m_options.loss ? 0 : sample < 2 * m_options.loss ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
         const Duration late { static_cast<Duration::rep>(
             m_options.jitter.count() ? m_random.below(static_cast<std::uint64_t>(m_options.jitter.count())) : 0) };
@@ -218,7 +218,7 @@
     });
 }
 
-void FleetFake::endForward(const RequestId& atHolder, AttemptEnd end, const CallerEnd& how)
+void FleetFake::endForward(const RequestId& atHolder, AttemptEnd end, const CallerEnd& callerEnd)
 {
     const auto found = m_forwards.find(atHolder);
     if (found == m_forwards.end())
@@ -228,14 +228,14 @@
     routing::AttemptEnded ended;
     ended.id = forward.relayed;
     ended.attempt = forward.attempt;
-    ended.end = streamsConnected(forward.from, forward.to) || end != AttemptEnd::Completed ? end : AttemptEnd::Silent;
+    ended.end = streamsConnected(forward.from, forward.to) || end != AttemptEnd::Completed ? end : AttemptEnd::Stalled;
     if (ended.end == AttemptEnd::Completed)
-        ended.answer = { how.outcome, 200, "application/json", how.body, toString(atHolder) };
-    at(ended.end == AttemptEnd::Silent ? silenceNoticed : networkDelay,
+        ended.answer = { callerEnd.outcome, 200, "application/json", callerEnd.body, toString(atHolder) };
+    at(ended.end == AttemptEnd::Stalled ? silenceDetectionDelay : networkDelay,
         [this, ended] { deliverTo(ended.id.origin, ended); });
 }
 
-// A crash breaks the connections on which requests were handed over, in both directions.
+// A crash breaks the connections of forwarded requests in both directions.
 void FleetFake::endForwardsTo(std::size_t n)
 {
     const std::map<RequestId, Forward> forwards = m_forwards;
@@ -243,7 +243,7 @@
         if (forward.to == n)
             endForward(id, AttemptEnd::Broken, {});
         else if (forward.from == n)
-            deliverTo(id.origin, routing::CallerGone { id });
+            deliverTo(id.origin, routing::CallerDisconnected { id });
     }
 }
 
