--- a/tests/FleetTargets.cpp
+++ b/tests/FleetTargets.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The fake's targets: they admit whatever comes, run it for as long as its cost says, and fail on command.
+/// The fake's targets: they accept every request, run it for the time given by its cost, and fail on demand.
 
 #include "FleetFake.h"
 
@@ -10,18 +10,18 @@
 
 namespace {
 
-    constexpr Duration resetNoticed = 5ms;
+    constexpr Duration resetDetectionDelay = 5ms;
     constexpr Duration progressAfter = 500ms;
-    constexpr std::uint64_t endLostEvery = 10; ///< Sabotage::LosesEnds.
+    constexpr std::uint64_t endLossInterval = 10; ///< Used by InjectedBug::LosesAttemptEnds.
 
-    /// What a fault does to an attempt that has begun to run.
-    struct Course {
+    /// The effect of a fault on an attempt that has started to run.
+    struct FaultEffect {
         AttemptEnd end = AttemptEnd::Completed;
-        bool halfway = false; ///< It ends after half of what is left.
+        bool halfway = false; ///< The attempt ends after half of the remaining time.
         bool resumable = false;
     };
 
-    Course courseOf(Fault fault)
+    FaultEffect effectOf(Fault fault)
     {
         switch (fault) {
         case Fault::DropReply:
@@ -33,7 +33,7 @@
         case Fault::BreakForGood:
             return { AttemptEnd::Broken, true };
         case Fault::Hang:
-            return { AttemptEnd::Silent };
+            return { AttemptEnd::Stalled };
         default:
             return {};
         }
@@ -72,7 +72,7 @@
     if (target.leavingSince && !resumes) {
         target.lastStartAfterLeaving = m_now - *target.leavingSince;
         if (target.lastStartAfterLeaving > leavingLimit)
-            breach(Breach::WorkAtLeaving, toString(id) + " at " + run.target);
+            reportViolation(Violation::WorkOnLeavingTarget, toString(id) + " at " + run.target);
     }
     if (!target.alive || fault == Fault::Refuse)
         return report(run, AttemptEnd::NothingSent, from, 0);
@@ -80,32 +80,32 @@
         return report(run, AttemptEnd::Broken, from, 0);
     if (fault == Fault::Reject)
         return report(run, AttemptEnd::Rejected, from, 0);
-    if (resumes && !target.known.contains(identity))
+    if (resumes && !target.resumableStreams.contains(identity))
         return report(run, AttemptEnd::NotResumable, from, 0);
 
     if (!resumes) {
         const bool mayRepeat = m_sends.at(id).repeatable.value_or(m_sends.at(id).service == "model");
         m_service[m_sends.at(id).customer] += static_cast<double>(positionsOf(m_sends.at(id)));
         if (++m_runs[id] > 1 && !mayRepeat)
-            breach(Breach::DoubledRun, toString(id));
+            reportViolation(Violation::DuplicateRun, toString(id));
         if (++m_identityRuns[identity] > 1 && !mayRepeat && m_sends.at(id).session)
-            breach(Breach::DoubledResend, identity);
+            reportViolation(Violation::DuplicateResendRun, identity);
     }
-    const Course course = courseOf(fault);
+    const FaultEffect effect = effectOf(fault);
     Duration time = m_sends.at(id).cost - std::chrono::milliseconds(from);
-    if (course.halfway)
+    if (effect.halfway)
         time /= 2;
-    if (course.end == AttemptEnd::Silent)
+    if (effect.end == AttemptEnd::Stalled)
         time = run.start.streamed ? run.start.tokenGapLimit : run.start.answerLimit;
-    if (course.resumable)
-        target.known.insert(identity);
+    if (effect.resumable)
+        target.resumableStreams.insert(identity);
     ++target.started;
-    run.end = course.end;
+    run.end = effect.end;
     run.time = time;
     const std::uint64_t serial = ++m_runSerial;
     m_active[serial] = run;
     target.queued.push_back(serial);
-    target.mostAdmitted = std::max(target.mostAdmitted, target.running + target.queued.size());
+    target.maxAdmitted = std::max(target.maxAdmitted, target.running + target.queued.size());
     if (target.running < target.slots)
         begin(serial);
 }
@@ -143,7 +143,7 @@
         return;
     const Send& send = m_sends.at(run.start.id);
     const std::uint64_t from = run.start.resumeFrom.value_or(0);
-    const std::uint64_t ran = run.end == AttemptEnd::Silent ? 0 : static_cast<std::uint64_t>(time / 1ms);
+    const std::uint64_t ran = run.end == AttemptEnd::Stalled ? 0 : static_cast<std::uint64_t>(time / 1ms);
     const std::uint64_t position
         = run.end == AttemptEnd::Completed ? positionsOf(send) : std::min(positionsOf(send), from + ran);
     report(run, run.end, position, static_cast<Cost>(position));
@@ -151,7 +151,7 @@
 
 void FleetFake::report(const Run& run, AttemptEnd end, std::uint64_t position, Cost cost)
 {
-    const Sabotage sabotage = m_options.sabotage;
+    const InjectedBug injectedBug = m_options.injectedBug;
     routing::AttemptEnded ended;
     ended.id = run.start.id;
     ended.attempt = run.start.attempt;
@@ -159,19 +159,19 @@
     ended.cost = cost;
     ended.nextPosition = run.start.streamed ? position : 0;
     std::string body = "answer of " + identityOf(run.start.id);
-    if (sabotage == Sabotage::CrossedPasses && end == AttemptEnd::Crossed) {
+    if (injectedBug == InjectedBug::AcceptsCrossedAnswers && end == AttemptEnd::Crossed) {
         ended.end = AttemptEnd::Completed;
         body = "answer of somebody else";
     }
-    if (sabotage == Sabotage::RunReportedUnsent && end == AttemptEnd::Broken)
+    if (injectedBug == InjectedBug::RunReportedUnsent && end == AttemptEnd::Broken)
         ended.end = AttemptEnd::NothingSent;
     if (ended.end == AttemptEnd::Completed)
         ended.answer = { Outcome::Completed, 200, "application/json", body, {} };
-    if (sabotage == Sabotage::LosesEnds && ++m_sabotaged % endLostEvery == 0)
+    if (injectedBug == InjectedBug::LosesAttemptEnds && ++m_bugCounter % endLossInterval == 0)
         return;
     at(networkDelay / 2, [this, run, ended]() mutable {
         relayPositions(run.start.id, run.start.resumeFrom.value_or(0), ended.nextPosition);
-        if (m_options.sabotage == Sabotage::ForgetsPositions && ended.end != AttemptEnd::Completed)
+        if (m_options.injectedBug == InjectedBug::ForgetsPositions && ended.end != AttemptEnd::Completed)
             ended.nextPosition = 0;
         deliverTo(run.start.id.origin, ended);
     });
@@ -183,7 +183,7 @@
     if (record == m_records.end() || to <= from)
         return;
     if (record->second.positions != from)
-        breach(Breach::SplicedAnswer,
+        reportViolation(Violation::SplicedAnswer,
             toString(id) + " goes on at " + std::to_string(from) + " after "
                 + std::to_string(record->second.positions));
     record->second.positions = to;
@@ -196,7 +196,7 @@
         if (run.start.id != action.id)
             continue;
         m_active[serial].cancelled = true;
-        if (action.tellTarget)
+        if (action.notifyTarget)
             at(networkDelay, [this, serial = serial] { finish(serial); });
     }
 }
@@ -205,12 +205,12 @@
 {
     note("crash of target " + name);
     m_targets.at(name).alive = false;
-    m_targets.at(name).known.clear();
+    m_targets.at(name).resumableStreams.clear();
     for (auto& [serial, run] : m_active) {
         if (run.target != name)
             continue;
         run.end = AttemptEnd::Broken;
-        at(resetNoticed, [this, serial = serial] { finish(serial); });
+        at(resetDetectionDelay, [this, serial = serial] { finish(serial); });
     }
 }
 
--- a/tests/FleetTrace.cpp
+++ b/tests/FleetTrace.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The fake's golden text: each event and each action that tells something, one line each.
+/// The fake's golden transcript: one line for each relevant event and action.
 
 #include "FleetFake.h"
 
@@ -56,7 +56,7 @@
         return "attempt " + std::to_string(it.attempt) + " of " + toString(it.id) + ": " + std::string(nameOf(it.end))
             + (it.nextPosition ? " at position " + std::to_string(it.nextPosition) : "");
     }
-    std::string describe(const routing::CallerGone& it) { return "caller of " + toString(it.id) + " is gone"; }
+    std::string describe(const routing::CallerDisconnected& it) { return "caller of " + toString(it.id) + " is gone"; }
     std::string describe(const routing::PeerUp& it) { return "stream up with " + it.peer.vm.value; }
     std::string describe(const routing::PeerDown& it) { return "stream down with " + it.peer.vm.value; }
     std::string describe(const routing::StopRequested&) { return "stop requested"; }
@@ -87,21 +87,21 @@
     std::string describe(const routing::StopListening&) { return "stop listening"; }
     std::string describe(const routing::Exit&) { return "exit"; }
 
-    /// Everything else says nothing to a reader of a golden file.
+    /// Other events and actions are left out of the transcript.
     template <typename Other> std::string describe(const Other&) { return {}; }
 
 } // namespace
 
 void FleetFake::note(const std::string& line)
 {
-    if (m_transcribes)
+    if (m_isTranscribing)
         m_transcript
             += std::to_string(m_now.time_since_epoch() / std::chrono::milliseconds(1)) + "ms -- " + line + "\n";
 }
 
 void FleetFake::trace(std::size_t n, const routing::Event& event)
 {
-    if (!m_transcribes)
+    if (!m_isTranscribing)
         return;
     if (const std::string line = std::visit([](const auto& it) { return describe(it); }, event); !line.empty())
         m_transcript += std::to_string(m_now.time_since_epoch() / std::chrono::milliseconds(1)) + "ms "
@@ -118,10 +118,10 @@
         m_controlBytes += message->bytes.size() + frameBytes;
         if (message->purpose != routing::Purpose::Ledger)
             line = name + std::visit([](const auto& it) { return detailOf(it); }, decoded) + " to " + message->to.value;
-    } else if (m_transcribes) {
+    } else if (m_isTranscribing) {
         line = std::visit([](const auto& it) { return describe(it); }, action);
     }
-    if (m_transcribes && !line.empty())
+    if (m_isTranscribing && !line.empty())
         m_transcript += std::to_string(m_now.time_since_epoch() / std::chrono::milliseconds(1)) + "ms "
             + life(n).vm.value + " -> " + line + "\n";
 }
--- a/tests/RoutingConfigTest.cpp
+++ b/tests/RoutingConfigTest.cpp
@@ -1,4 +1,4 @@
-// Configuration that comes late, by another way, or not at all; and targets that leave meanwhile.
+// Configuration that arrives late, through a peer, or not at all, including targets that leave meanwhile.
 
 #include "RoutingFleets.h"
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Sends a little work through every router, so that no moment passes without new work.
-void trickle(FleetFake& fleet, Duration length)
+/// Sends a few requests through every router, so that new work arrives continuously.
+void sendSteadily(FleetFake& fleet, Duration length)
 {
     constexpr Duration step = 50ms;
     for (Duration done {}; done < length; done += step) {
@@ -21,59 +21,58 @@
     }
 }
 
-void leave(FleetFake& fleet) { fleet.declareTarget("worker-1", "model", 2, true); }
+void markWorkerLeaving(FleetFake& fleet) { fleet.declareTarget("worker-1", "model", 2, true); }
 
 } // namespace
 
 TEST_CASE("a target that leaves gets no new work after three seconds")
 {
-    // Symptom: a target is switched off with fresh requests on it.
-    // Sequence: it is declared leaving while work keeps coming, and one thing goes wrong at the same time.
-    // Cause: some router starts work by what it knew before.
+    // Guards against new work at a target that is about to be switched off. The target is declared leaving while
+    // requests keep arriving and one fault is present, so that some router may act on outdated configuration.
     FleetFake::Options options;
     options.routers = 5;
     auto fleet = oneCellFleet(options);
     const std::size_t owner = fleet->ownerOf("model");
-    const std::size_t other = otherThan(*fleet, { owner });
-    trickle(*fleet, 500ms);
-    SECTION("with everything well, it is a second")
+    const std::size_t other = routerOtherThan(*fleet, { owner });
+    sendSteadily(*fleet, 500ms);
+    SECTION("within a second without faults")
     {
-        leave(*fleet);
-        trickle(*fleet, 5s);
+        markWorkerLeaving(*fleet);
+        sendSteadily(*fleet, 5s);
         REQUIRE(fleet->target("worker-1").lastStartAfterLeaving <= 1s);
     }
-    SECTION("the log is out of reach of one router")
+    SECTION("one router cannot reach the log")
     {
         fleet->setLogReachable(GENERATE(true, false) ? owner : other, false);
-        leave(*fleet);
-        trickle(*fleet, 8s);
+        markWorkerLeaving(*fleet);
+        sendSteadily(*fleet, 8s);
     }
     SECTION("the log is slow for one router")
     {
         fleet->setLogDelay(GENERATE(true, false) ? owner : other, 10s);
         fleet->run(12s);
-        leave(*fleet);
-        trickle(*fleet, 8s);
+        markWorkerLeaving(*fleet);
+        sendSteadily(*fleet, 8s);
     }
-    SECTION("a router is paused and goes on")
+    SECTION("a router is paused and resumes")
     {
         const std::size_t paused = GENERATE(true, false) ? owner : other;
         const Duration length = GENERATE(800ms, 2900ms, 10000ms);
         fleet->pause(paused);
-        leave(*fleet);
-        trickle(*fleet, length);
+        markWorkerLeaving(*fleet);
+        sendSteadily(*fleet, length);
         fleet->resume(paused);
-        trickle(*fleet, 5s);
+        sendSteadily(*fleet, 5s);
     }
-    SECTION("a router is cut off from all at that moment")
+    SECTION("a router is isolated at that moment")
     {
         const std::size_t cut = GENERATE(true, false) ? owner : other;
         fleet->isolate(cut);
         fleet->setLogReachable(cut, false);
-        leave(*fleet);
-        trickle(*fleet, 8s);
+        markWorkerLeaving(*fleet);
+        sendSteadily(*fleet, 8s);
         fleet->isolate(cut, false);
-        trickle(*fleet, 5s);
+        sendSteadily(*fleet, 5s);
     }
     SECTION("a router loses the log and all streams, while datagrams pass")
     {
@@ -81,37 +80,36 @@
         fleet->setLogReachable(cut, false);
         for (std::size_t n = 0; n < fleet->routers(); ++n)
             fleet->cutStreams(cut, n);
-        leave(*fleet);
-        trickle(*fleet, 8s);
+        markWorkerLeaving(*fleet);
+        sendSteadily(*fleet, 8s);
     }
-    SECTION("grants for it are on their way to a router that is paused")
+    SECTION("grants for it are in transit to a paused router")
     {
         fleet->pause(other);
-        trickle(*fleet, 200ms);
-        leave(*fleet);
+        sendSteadily(*fleet, 200ms);
+        markWorkerLeaving(*fleet);
         fleet->run(6s);
         fleet->resume(other);
-        trickle(*fleet, 2s);
+        sendSteadily(*fleet, 2s);
     }
-    SECTION("a router restarts in an outage of the log")
+    SECTION("a router restarts during an outage of the log")
     {
-        leave(*fleet);
+        markWorkerLeaving(*fleet);
         fleet->run(300ms);
         for (std::size_t n = 0; n < fleet->routers(); ++n)
             fleet->setLogReachable(n, false);
         fleet->crash(other);
-        trickle(*fleet, 1s);
+        sendSteadily(*fleet, 1s);
         fleet->restart(other);
-        trickle(*fleet, 6s);
+        sendSteadily(*fleet, 6s);
     }
-    requireKept(*fleet);
+    requireNoViolations(*fleet);
 }
 
 TEST_CASE("configuration reaches a router through its peers")
 {
-    // Symptom: a change is in force everywhere but at one router, for as long as that one does not reach the log.
-    // Sequence: a router loses the log; a new customer's service and targets are declared.
-    // Cause: nobody passes configuration on.
+    // Guards against a change that never reaches a router without access to the log: the router loses the log, and a
+    // new service with a target is declared. Its peers have to pass the configuration on.
     auto fleet = smallFleet();
     fleet->setLogReachable(1, false);
     fleet->declareTarget("worker-3", "drafts", 1);
@@ -120,14 +118,13 @@
     const RequestId id = fleet->send(1, { .customer = "tellers", .service = "drafts" });
     fleet->run(1s);
     REQUIRE(onlyEnd(*fleet, id).outcome == Outcome::Completed);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("the fleet goes on while nobody reaches the log")
+TEST_CASE("requests are served during a complete outage of the log")
 {
-    // Symptom: an outage of the log stops all service.
-    // Sequence: the log is down for all; work goes on for a minute; one router restarts in it without memory.
-    // Cause: being out of reach of the log was taken for being cut off.
+    // Guards against an outage of the log stopping all service because it is mistaken for isolation. The log is down
+    // for every router for half a minute, and one router restarts without state meanwhile.
     auto fleet = smallFleet();
     for (std::size_t n = 0; n < 3; ++n)
         fleet->setLogReachable(n, false);
@@ -144,14 +141,13 @@
     const RequestId id = fleet->send(0, { "tellers" });
     fleet->run(1s);
     REQUIRE(onlyEnd(*fleet, id).outcome == Outcome::Completed);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a router that reaches neither log nor peers when it starts takes nothing")
+TEST_CASE("a router that reaches neither log nor peers at startup refuses requests")
 {
-    // Symptom: a router that knows no service says "there is no such service", and the caller gives up.
-    // Sequence: a router starts alone, without log and peers.
-    // Cause: without configuration nothing can be said about services.
+    // Guards against a wrong "there is no such service", after which the caller would give up. A router starts without
+    // access to the log and its peers; without configuration it cannot tell which services exist.
     auto fleet = smallFleet();
     fleet->crash(2);
     fleet->isolate(2);
@@ -163,11 +159,10 @@
     REQUIRE(onlyEnd(*fleet, id).kind == ErrorKind::CutOff);
 }
 
-TEST_CASE("a router that was paused for a moment does not turn its callers away")
+TEST_CASE("a briefly paused router does not refuse its waiting requests")
 {
-    // Symptom: each hiccup of a VM makes it refuse all that waits there.
-    // Sequence: a router with waiting requests stands still for 1.5 s; log and peers are well.
-    // Cause: after a pause it has to hear of the log again first, which takes a moment.
+    // Guards against a short pause of a VM causing refusals. A router with waiting requests is paused for 1.5 s while
+    // log and peers are well; after the pause it needs a moment to hear from the log again.
     auto fleet = smallFleet();
     for (int n = 0; n < 100; ++n)
         fleet->send(0, { "tellers" });
@@ -175,6 +170,6 @@
     fleet->pause(0);
     fleet->run(1500ms);
     fleet->resume(0);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
     REQUIRE(countEnds(*fleet, Outcome::Completed) == fleet->records().size());
 }
--- a/tests/RoutingDeliveryTest.cpp
+++ b/tests/RoutingDeliveryTest.cpp
@@ -1,4 +1,4 @@
-// Promises to callers when targets, connections and routers fail.
+// Delivery guarantees when targets, connections and routers fail.
 
 #include "RoutingFleets.h"
 
@@ -18,7 +18,7 @@
     return send;
 }
 
-/// A pool of one target, so that a fault meets the request that it is meant for.
+/// A pool with a single target, so that a fault hits the intended request.
 std::unique_ptr<FleetFake> oneTargetFleet(FleetFake::Options options = {})
 {
     auto fleet = std::make_unique<FleetFake>(std::move(options));
@@ -33,11 +33,10 @@
 
 } // namespace
 
-TEST_CASE("a reply is lost and the caller sends again through another router")
+TEST_CASE("a resend after a lost reply is answered through another router")
 {
-    // Symptom: interest is posted twice.
-    // Sequence: the request runs; its reply is lost on the way to the caller; the caller sends it again elsewhere.
-    // Cause: the second router cannot know of the first run; only the holder of the session does.
+    // Guards against a request running twice: it runs, its reply to the caller is lost, and the caller resends through
+    // another router. That router cannot know of the first run; only the holder of the session does.
     auto fleet = smallFleet();
     const std::string session = fleet->session(0);
     const RequestId first = fleet->send(0, posting(session, 1));
@@ -48,14 +47,13 @@
     REQUIRE(onlyEnd(*fleet, first).outcome == Outcome::Completed);
     REQUIRE(onlyEnd(*fleet, again).body == onlyEnd(*fleet, first).body);
     REQUIRE(onlyEnd(*fleet, third).body == onlyEnd(*fleet, first).body);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a resend while the first send runs waits for its end")
+TEST_CASE("a resend waits while the first send is running")
 {
-    // Symptom: a caller that is too quick gets an error, or makes the request run twice.
-    // Sequence: the same number comes twice again, through two routers, while it runs.
-    // Cause: "begun" has to be remembered as well as "ended".
+    // Guards against an error or a second run when the same sequence number arrives twice more, through other routers,
+    // while the request runs. Started requests have to be remembered as well as completed ones.
     auto fleet = smallFleet();
     const std::string session = fleet->session(0);
     std::vector<RequestId> sends;
@@ -66,14 +64,13 @@
     fleet->run(1s);
     for (const RequestId& it : sends)
         REQUIRE(onlyEnd(*fleet, it).outcome == Outcome::Completed);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("the holder of a session crashes")
 {
-    // Symptom: a resend runs the request a second time on a router that never heard of it.
-    // Sequence: the request runs, its router crashes before answering, and starts again; resends go everywhere.
-    // Cause: nobody knows what became of it, and only "unknown" is true.
+    // Guards against a resend running again on a router that never heard of the first send. The holder crashes before
+    // it answers and restarts, so the outcome is lost and only "unknown" is a correct answer.
     auto fleet = smallFleet();
     const std::string session = fleet->session(0);
     fleet->send(0, posting(session, 1));
@@ -91,14 +88,13 @@
         REQUIRE(onlyEnd(*fleet, it).outcome == Outcome::Unknown);
         REQUIRE(fleet->runsOf(it) == 0);
     }
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("the holder crashes while another router waits for its answer")
 {
-    // Symptom: the caller at the other router never gets an end.
-    // Sequence: a request handed over to its holder runs there; the holder crashes.
-    // Cause: the hand-over is a connection like any other and has to end with it.
+    // Guards against a caller that never gets an end: a forwarded request runs at the holder of its session, and the
+    // holder crashes. The forwarding has to end with the connection.
     auto fleet = smallFleet();
     const std::string session = fleet->session(0);
     const RequestId id = fleet->send(1, posting(session, 1));
@@ -106,17 +102,17 @@
     fleet->crash(0);
     fleet->run(1s);
     REQUIRE(onlyEnd(*fleet, id).outcome == Outcome::Unknown);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("the caller leaves")
+TEST_CASE("the caller disconnects")
 {
     auto fleet = smallFleet();
     SECTION("a repeatable request is cancelled and its slot is free")
     {
         const RequestId id = fleet->send(0, { .customer = "tellers", .cost = 5s });
         fleet->run(100ms);
-        fleet->callerLeaves(id);
+        fleet->disconnectCaller(id);
         fleet->run(100ms);
         REQUIRE(fleet->target("worker-1").running + fleet->target("worker-2").running == 0);
         REQUIRE(fleet->runsOf(id) == 1);
@@ -128,28 +124,28 @@
         send.cost = 2s;
         const RequestId id = fleet->send(0, send);
         fleet->run(100ms);
-        fleet->callerLeaves(id);
+        fleet->disconnectCaller(id);
         fleet->run(3s);
         const RequestId again = fleet->send(1, send);
         fleet->run(100ms);
         REQUIRE(onlyEnd(*fleet, again).outcome == Outcome::Completed);
         REQUIRE(fleet->runsOf(id) == 1);
     }
-    SECTION("one that still waits is withdrawn, and may run when it is sent again")
+    SECTION("a waiting request is withdrawn, and may run when it is sent again")
     {
         for (int n = 0; n < 8; ++n)
             fleet->send(0, { .customer = "tellers", .service = "posting", .cost = 300ms });
         const std::string session = fleet->session(0);
         const RequestId id = fleet->send(0, posting(session, 1));
         fleet->run(50ms);
-        fleet->callerLeaves(id);
+        fleet->disconnectCaller(id);
         fleet->run(50ms);
         const RequestId again = fleet->send(2, posting(session, 1));
         fleet->run(3s);
         REQUIRE(onlyEnd(*fleet, again).outcome == Outcome::Completed);
         REQUIRE(fleet->runsOf(id) == 0);
     }
-    SECTION("one that a resend waits for runs all the same")
+    SECTION("a request that a resend waits for still runs")
     {
         for (int n = 0; n < 8; ++n)
             fleet->send(0, { .customer = "tellers", .service = "posting", .cost = 300ms });
@@ -157,18 +153,17 @@
         const RequestId id = fleet->send(0, posting(session, 1));
         const RequestId again = fleet->send(2, posting(session, 1));
         fleet->run(50ms);
-        fleet->callerLeaves(id);
+        fleet->disconnectCaller(id);
         fleet->run(3s);
         REQUIRE(onlyEnd(*fleet, again).outcome == Outcome::Completed);
     }
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a target gives the answer of another request")
+TEST_CASE("a target returns the answer of another request")
 {
-    // Symptom: a caller reads another customer's answer.
-    // Sequence: a target answers with a foreign identity, once for a repeatable request and once for another.
-    // Cause: a late answer of an earlier request came on a connection that was used again.
+    // Guards against a caller reading another customer's answer. A late answer to an earlier request arrives on a
+    // reused connection, once for a repeatable request and once for one that may not be repeated.
     auto fleet = oneTargetFleet();
     fleet->target("worker-1").faults = { Fault::Crossed };
     fleet->target("posting-1").faults = { Fault::Crossed };
@@ -177,15 +172,14 @@
     fleet->run(3s);
     REQUIRE(onlyEnd(*fleet, repeatable).outcome == Outcome::Completed);
     REQUIRE(onlyEnd(*fleet, posted).outcome == Outcome::Unknown);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("a target refuses connections")
 {
-    // Symptom: requests that could have run elsewhere are refused, or wait for ever because their only target is the
-    // one to avoid.
-    // Sequence: connections are refused once, for requests of both kinds; the pool has one target, or two.
-    // Cause: what failed is remembered as a target to avoid, and nothing else is left.
+    // Guards against refusing requests that could run elsewhere, and against waiting forever because the pool's only
+    // target is on the request's list of targets to avoid. Connections are refused for both kinds of requests, with one
+    // target and with two.
     const bool one = GENERATE(true, false);
     auto fleet = one ? oneTargetFleet() : smallFleet();
     fleet->target("worker-1").faults = { Fault::Refuse, Fault::Refuse };
@@ -198,14 +192,13 @@
     fleet->run(6s);
     for (const RequestId& it : ids)
         REQUIRE(onlyEnd(*fleet, it).outcome == Outcome::Completed);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("a target runs a request and its reply is lost")
 {
-    // Symptom: a bid is confirmed twice, or its caller is told that it was not run.
-    // Sequence: the application runs the call and the connection breaks before the answer.
-    // Cause: a broken connection says nothing about what happened behind it.
+    // Guards against running a call twice or reporting it as not run when the application runs it and the connection
+    // breaks before the answer. A broken connection does not tell whether the call has run.
     auto fleet = oneTargetFleet();
     fleet->target("posting-1").faults = { Fault::DropReply };
     const std::string session = fleet->session(0);
@@ -216,14 +209,14 @@
     REQUIRE(onlyEnd(*fleet, id).outcome == Outcome::Unknown);
     REQUIRE(onlyEnd(*fleet, again).outcome == Outcome::Unknown);
     REQUIRE(fleet->target("posting-1").started == 1);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("a streamed answer breaks")
 {
     auto fleet = oneTargetFleet();
     Send streamed { .customer = "tellers", .cost = 400ms, .streamed = true };
-    SECTION("and is taken up at its position")
+    SECTION("and is resumed at its position")
     {
         fleet->target("worker-1").faults = { Fault::BreakStream };
         const RequestId id = fleet->send(0, streamed);
@@ -232,7 +225,7 @@
         REQUIRE(fleet->runsOf(id) == 1);
         REQUIRE(fleet->record(id).positions == 400);
     }
-    SECTION("and cannot be taken up: the end is explicit")
+    SECTION("and cannot be resumed: it ends as incomplete")
     {
         fleet->target("worker-1").faults = { Fault::BreakForGood };
         const RequestId id = fleet->send(0, streamed);
@@ -242,10 +235,9 @@
     }
     SECTION("because its target dies")
     {
-        // Symptom: the caller gets the beginning of one answer and the end of another, or a request that may not be
-        // repeated runs twice.
-        // Sequence: the target dies in the middle of a stream; taking it up finds nobody at the address.
-        // Cause: "nothing was sent" is true of the attempt to take it up, not of the request.
+        // Guards against splicing two answers and against running a request twice that may not be repeated. The target
+        // dies during a stream and the resume attempt cannot connect: "nothing was sent" holds for the resume attempt,
+        // not for the request.
         fleet->declareTarget("worker-2", "model", 2);
         fleet->run(500ms);
         std::vector<RequestId> ids;
@@ -273,17 +265,17 @@
         REQUIRE(onlyEnd(*fleet, id).outcome == Outcome::Unknown);
         REQUIRE(fleet->runsOf(id) == 1);
     }
-    SECTION("by falling silent")
+    SECTION("by stalling")
     {
         fleet->target("worker-1").faults = { Fault::Hang };
         const RequestId id = fleet->send(0, streamed);
         fleet->run(8s);
         REQUIRE(onlyEnd(*fleet, id).outcome == Outcome::Completed);
     }
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a request's deadline passes in the queue")
+TEST_CASE("a request's deadline expires in the queue")
 {
     auto fleet = oneTargetFleet();
     for (int n = 0; n < 3; ++n) // The slots, and the one that waits at the target.
@@ -300,14 +292,13 @@
         REQUIRE(onlyEnd(*fleet, it).kind == ErrorKind::DeadlineExceeded);
         REQUIRE(onlyEnd(*fleet, it).at - fleet->now() > -150ms);
     }
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a dead pool gets no storm of retries")
+TEST_CASE("retries to an unreachable pool stay within the budget")
 {
-    // Symptom: all targets of a pool are down, and the routers send each request three times.
-    // Sequence: 200 requests come while nothing listens at the targets' addresses.
-    // Cause: retries without a budget multiply the load just when a pool is weakest.
+    // Guards against retries multiplying the load on a failed pool: without a budget each request would be sent three
+    // times. 200 requests arrive while nothing listens at the targets' addresses.
     auto fleet = smallFleet();
     for (const std::string target : { "worker-1", "worker-2" })
         fleet->killTarget(target);
@@ -317,20 +308,19 @@
     }
     fleet->run(120s);
     const double budget = 200 + 3 * (0.1 * 67 + 10);
-    REQUIRE(static_cast<double>(fleet->sendsInAll()) <= budget);
+    REQUIRE(static_cast<double>(fleet->totalAttempts()) <= budget);
     REQUIRE(countEnds(*fleet, Outcome::Completed) == 0);
     for (const std::string target : { "worker-1", "worker-2" })
         fleet->reviveTarget(target);
-    requireQuiet(*fleet, 30s);
+    requireQuiescent(*fleet, 30s);
     REQUIRE(countEnds(*fleet, Outcome::Completed) > 100);
 }
 
 TEST_CASE("a resend meets a router that has no configuration yet")
 {
-    // Symptom: a caller is told "not run" of a posting that ran.
-    // Sequence: a posting ran; a router that restarted in an outage of the log gets the resend before it has any
-    // configuration.
-    // Cause: without the service nothing tells that it may not be repeated, and an unknown service was answered first.
+    // Guards against a false "not run" for a request that ran. A router restarts during an outage of the log and gets
+    // the resend before it has any configuration: it cannot look up whether the service is repeatable, and must not
+    // answer "unknown service" first.
     auto fleet = smallFleet();
     const std::string session = fleet->session(0);
     fleet->send(0, posting(session, 1));
@@ -341,14 +331,13 @@
     const RequestId again = fleet->send(1, posting(session, 1));
     fleet->run(1s);
     REQUIRE(onlyEnd(*fleet, again).outcome != Outcome::NotRun);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a pooled connection turns out to be dead")
+TEST_CASE("a pooled connection turns out to be closed")
 {
-    // Symptom: a repeatable request fails because of a connection that something between the two ends had forgotten.
-    // Sequence: the target closed an idle connection; the next request is sent on it.
-    // Cause: it can be told only by sending. Requests that may not be repeated never use such a connection.
+    // Guards against a repeatable request failing because the other end has closed an idle pooled connection, which is
+    // detected only by sending. Requests that may not be repeated never use a pooled connection.
     auto fleet = oneTargetFleet();
     fleet->target("worker-1").faults = { Fault::Stale };
     fleet->target("posting-1").faults = { Fault::Stale };
@@ -357,5 +346,5 @@
     fleet->run(2s);
     REQUIRE(onlyEnd(*fleet, repeatable).outcome == Outcome::Completed);
     REQUIRE(onlyEnd(*fleet, posted).outcome == Outcome::Completed);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
--- a/tests/RoutingFleets.h
+++ b/tests/RoutingFleets.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Small fleets for the routing tests, and the check that all promises were kept.
+/// Small fleets for the routing tests, and checks of the invariants.
 
 #include "FleetFake.h"
 
@@ -11,7 +11,7 @@
 
 namespace sagechute::testing {
 
-/// Two customers, a pool of engines and one of applications whose calls may not be repeated.
+/// Two customers, one pool of engines, and one pool of applications whose calls may not be repeated.
 inline std::unique_ptr<FleetFake> smallFleet(FleetFake::Options options = {})
 {
     auto fleet = std::make_unique<FleetFake>(std::move(options));
@@ -27,25 +27,25 @@
     return fleet;
 }
 
-/// The same with one cell for each pool, so that its owner is known.
+/// Like smallFleet() but with one cell per pool, so that its owner is known.
 inline std::unique_ptr<FleetFake> oneCellFleet(FleetFake::Options options = {})
 {
     options.cellsPerPool = 1;
     return smallFleet(std::move(options));
 }
 
-inline void requireKept(const FleetFake& fleet)
+inline void requireNoViolations(const FleetFake& fleet)
 {
     INFO(fleet.details());
-    REQUIRE(fleet.breaches().empty());
+    REQUIRE(fleet.violations().empty());
 }
 
-/// Lets everything end and requires all promises, those that hold in the end included.
-inline void requireQuiet(FleetFake& fleet, Duration patience = std::chrono::seconds(20))
+/// Lets all requests end and requires all invariants, including those that hold only at the end.
+inline void requireQuiescent(FleetFake& fleet, Duration timeout = std::chrono::seconds(20))
 {
-    fleet.run(patience);
-    fleet.checkQuiet();
-    requireKept(fleet);
+    fleet.run(timeout);
+    fleet.checkQuiescent();
+    requireNoViolations(fleet);
 }
 
 inline std::size_t countEnds(const FleetFake& fleet, Outcome outcome)
@@ -63,8 +63,8 @@
     return fleet.record(id).ends.front();
 }
 
-/// @return a router other than those given.
-inline std::size_t otherThan(const FleetFake& fleet, std::initializer_list<std::size_t> taken)
+/// @return a router that is not among @p taken.
+inline std::size_t routerOtherThan(const FleetFake& fleet, std::initializer_list<std::size_t> taken)
 {
     for (std::size_t n = 0; n < fleet.routers(); ++n) {
         if (std::find(taken.begin(), taken.end(), n) == taken.end())
--- a/tests/RoutingPropertyTest.cpp
+++ b/tests/RoutingPropertyTest.cpp
@@ -1,4 +1,5 @@
-// Promises that hold whatever happens: random schedules of requests and failures, then all is healed and must end.
+// Invariants under random schedules of requests and failures; at the end all faults are healed and every request must
+// end.
 
 #include "RoutingFleets.h"
 
@@ -17,7 +18,7 @@
     std::size_t routers = 3;
     std::uint32_t cells = 1;
     int steps = 40;
-    std::vector<bool> faults; ///< Which kinds may happen; shrinks to the one that matters.
+    std::vector<bool> faults; ///< Which kinds of faults may occur; shrinks to the relevant one.
 };
 
 void showValue(const Scenario& it, std::ostream& os)
@@ -28,10 +29,10 @@
         os << (it.faults[n] ? " " + std::to_string(n) : "");
 }
 
-/// Lets a fleet live through a random schedule.
-class Trial {
+/// Runs a fleet through a random schedule.
+class ScheduleRunner {
 public:
-    Trial(const Scenario& scenario, FleetFake::Options options)
+    ScheduleRunner(const Scenario& scenario, FleetFake::Options options)
         : m_scenario(scenario)
         , m_random(scenario.seed)
     {
@@ -47,20 +48,20 @@
         m_logOut.resize(scenario.routers);
     }
 
-    /// @return the promises that were broken.
-    std::set<Breach> run()
+    /// @return the invariants that were violated.
+    std::set<Violation> run()
     {
         for (int step = 0; step < m_scenario.steps; ++step) {
             for (std::uint64_t n = m_random.below(chance(0.1) ? 60 : 8); n > 0; --n)
                 request();
             if (chance(0.5))
-                disturb();
+                injectFault();
             m_fleet->run(std::chrono::milliseconds(20 + m_random.below(400)));
         }
         heal();
         m_fleet->run(90s);
-        m_fleet->checkQuiet();
-        return m_fleet->breaches();
+        m_fleet->checkQuiescent();
+        return m_fleet->violations();
     }
 
     const FleetFake& fleet() const { return *m_fleet; }
@@ -68,7 +69,7 @@
     static constexpr std::size_t faultKinds = 11;
 
 private:
-    using Disturbance = void (Trial::*)();
+    using FaultInjector = void (ScheduleRunner::*)();
 
     bool chance(double probability) { return m_random.fraction() < probability; }
     bool allowed(std::size_t kind) const { return kind < m_scenario.faults.size() && m_scenario.faults[kind]; }
@@ -92,28 +93,29 @@
         if (send.service == "posting" && !send.repeatable && chance(0.7)) {
             send.session = m_fleet->session(chance(0.7) ? router : anyRouter());
             send.sequence = 1;
-            m_numbered.push_back(send);
+            m_resendable.push_back(send);
         }
-        if (!m_numbered.empty() && chance(0.3))
-            send = m_numbered[m_random.below(m_numbered.size())];
+        if (!m_resendable.empty() && chance(0.3))
+            send = m_resendable[m_random.below(m_resendable.size())];
         const RequestId id = m_fleet->send(router, send);
         if (chance(0.1))
-            m_leaving.push_back(id);
-        if (!m_leaving.empty() && chance(0.1)) {
-            if (m_fleet->record(m_leaving.back()).ends.empty())
-                m_fleet->callerLeaves(m_leaving.back());
-            m_leaving.pop_back();
+            m_callersToDisconnect.push_back(id);
+        if (!m_callersToDisconnect.empty() && chance(0.1)) {
+            if (m_fleet->record(m_callersToDisconnect.back()).ends.empty())
+                m_fleet->disconnectCaller(m_callersToDisconnect.back());
+            m_callersToDisconnect.pop_back();
         }
     }
 
-    void disturb()
+    void injectFault()
     {
-        static constexpr Disturbance all[]
-            = { nullptr, &Trial::crash, &Trial::pause, &Trial::cut, &Trial::isolate, &Trial::cutStreams,
-                  &Trial::breakStream, &Trial::logOutage, &Trial::targetFault, &Trial::targetLeaves, &Trial::stop };
+        static constexpr FaultInjector all[]
+            = { nullptr, &ScheduleRunner::crash, &ScheduleRunner::pause, &ScheduleRunner::cut, &ScheduleRunner::isolate,
+                  &ScheduleRunner::cutStreams, &ScheduleRunner::breakStream, &ScheduleRunner::logOutage,
+                  &ScheduleRunner::targetFault, &ScheduleRunner::targetLeaves, &ScheduleRunner::stop };
         static_assert(std::size(all) == faultKinds);
         const std::size_t kind = m_random.below(faultKinds);
-        if (kind && allowed(kind) && m_fleet->now() >= m_calmUntil)
+        if (kind && allowed(kind) && m_fleet->now() >= m_noFaultsUntil)
             (this->*all[kind])();
     }
 
@@ -178,7 +180,7 @@
             m_fleet->setLogDelay(n, {});
         }
         if (chance(0.5)) {
-            m_logOut[router] = true; // So slow that it is no sign of life.
+            m_logOut[router] = true; // Too slow to count as contact with the log.
             m_fleet->setLogDelay(router, 3s);
         }
     }
@@ -196,15 +198,14 @@
             target.faults.push_back(fault);
     }
 
-    // What the log holds can be kept to only if it reaches the routers by some way: from those that read it to those
-    // that don't.
+    // A router can follow a change only if the change reaches it: from the log, or from a peer that reads the log.
     void targetLeaves()
     {
         const bool someOut = std::find(m_logOut.begin(), m_logOut.end(), true) != m_logOut.end();
         const bool someRead = std::find(m_logOut.begin(), m_logOut.end(), false) != m_logOut.end();
         if (someOut && (m_wasCut || m_wasDown || !someRead))
             return;
-        m_calmUntil = m_fleet->now() + 3s;
+        m_noFaultsUntil = m_fleet->now() + 3s;
         m_fleet->declareTarget("worker-1", "model", 2, chance(0.5));
         m_fleet->declareTarget("posting-1", "posting", 2, chance(0.5));
     }
@@ -219,7 +220,7 @@
 
     void heal()
     {
-        m_fleet->calmDatagrams();
+        m_fleet->stopDatagramLoss();
         for (std::size_t n = 0; n < m_scenario.routers; ++n) {
             if (m_paused[n])
                 m_fleet->resume(n);
@@ -235,7 +236,7 @@
         }
         m_fleet->declareTarget("worker-1", "model", 2);
         m_fleet->declareTarget("posting-1", "posting", 2);
-        m_fleet->run(20s); // Planned stops end.
+        m_fleet->run(20s); // Lets planned stops finish.
         for (std::size_t n = 0; n < m_scenario.routers; ++n) {
             if (!m_fleet->up(n))
                 m_fleet->restart(n);
@@ -249,34 +250,35 @@
     std::vector<bool> m_logOut;
     bool m_wasCut = false;
     bool m_wasDown = false;
-    TimePoint m_calmUntil {};
-    std::vector<Send> m_numbered;
-    std::vector<RequestId> m_leaving;
+    TimePoint m_noFaultsUntil {};
+    std::vector<Send> m_resendable;
+    std::vector<RequestId> m_callersToDisconnect;
 };
 
-rc::Gen<Scenario> anyScenario()
+rc::Gen<Scenario> scenarioGenerator()
 {
     return rc::gen::build<Scenario>(rc::gen::set(&Scenario::seed, rc::gen::arbitrary<std::uint64_t>()),
         rc::gen::set(&Scenario::routers, rc::gen::inRange<std::size_t>(1, 6)),
         rc::gen::set(&Scenario::cells, rc::gen::inRange<std::uint32_t>(1, 3)),
         rc::gen::set(&Scenario::steps, rc::gen::inRange(1, 60)),
-        rc::gen::set(
-            &Scenario::faults, rc::gen::container<std::vector<bool>>(Trial::faultKinds, rc::gen::arbitrary<bool>())));
+        rc::gen::set(&Scenario::faults,
+            rc::gen::container<std::vector<bool>>(ScheduleRunner::faultKinds, rc::gen::arbitrary<bool>())));
 }
 
 } // namespace
 
-TEST_CASE("every promise holds over random schedules")
+TEST_CASE("all invariants hold over random schedules")
 {
-    // Ends once, no doubled run, true refusals, whole answers of one's own, no work at leaving targets after three
-    // seconds, everything ends after healing, no slot is lost.
-    REQUIRE(rc::check("promises", [] {
-        const Scenario scenario = *anyScenario();
-        Trial trial(scenario, {});
-        const std::set<Breach> breaches = trial.run();
-        if (!breaches.empty())
-            RC_LOG() << trial.fleet().details();
-        RC_ASSERT(breaches.empty());
+    // Each request ends exactly once, non-repeatable requests run at most once, "not run" is reported only for requests
+    // that did not run, answers are complete and belong to the request, leaving targets get no new work after three
+    // seconds, everything ends after healing, and no slot is lost.
+    REQUIRE(rc::check("invariants", [] {
+        const Scenario scenario = *scenarioGenerator();
+        ScheduleRunner runner(scenario, {});
+        const std::set<Violation> violations = runner.run();
+        if (!violations.empty())
+            RC_LOG() << runner.fleet().details();
+        RC_ASSERT(violations.empty());
     }));
 }
 
@@ -284,44 +286,48 @@
 
 struct Mutant {
     std::string name;
-    std::set<Breach> expected;
-    Sabotage sabotage = Sabotage::None;
+    std::set<Violation> expected;
+    InjectedBug injectedBug = InjectedBug::None;
     std::function<void(routing::RouterSettings&)> adjust {};
 };
 
 std::vector<Mutant> mutants()
 {
     return {
-        { "ends of attempts are lost", { Breach::NeverEnded }, Sabotage::LosesEnds },
-        { "answers are given twice", { Breach::EndedTwice }, Sabotage::DoublesEnds },
-        { "a run is reported as not sent", { Breach::DoubledRun }, Sabotage::RunReportedUnsent },
-        { "the same, and nothing is retried", { Breach::FalseNotRun }, Sabotage::RunReportedUnsent,
+        { "ends of attempts are lost", { Violation::NeverEnded }, InjectedBug::LosesAttemptEnds },
+        { "answers are delivered twice", { Violation::EndedTwice }, InjectedBug::DuplicatesEnds },
+        { "a run is reported as not sent", { Violation::DuplicateRun }, InjectedBug::RunReportedUnsent },
+        { "the same, and nothing is retried", { Violation::FalseNotRun }, InjectedBug::RunReportedUnsent,
             [](routing::RouterSettings& it) { it.retries.attemptsMost = 1; } },
-        { "whoever gets a resend runs it", { Breach::DoubledResend }, Sabotage::ResendRunsAnywhere },
-        { "a crossed answer is taken for the right one", { Breach::ForeignAnswer }, Sabotage::CrossedPasses },
-        { "positions of a broken stream are forgotten", { Breach::SplicedAnswer }, Sabotage::ForgetsPositions },
-        { "messages are lost without a word", { Breach::NeverEnded, Breach::SlotLeak }, Sabotage::LosesMessages },
-        { "a router never finds that it is cut off", { Breach::WorkAtLeaving }, Sabotage::None,
-            [](routing::RouterSettings& it) { it.freshness = it.lagMost = it.pauseLimit = std::chrono::hours(1); } },
-        { "a planned stop does not wait", { Breach::NeverEnded }, Sabotage::None,
-            [](routing::RouterSettings& it) { it.stopMost = Duration(0); } },
+        { "every router that gets a resend runs it", { Violation::DuplicateResendRun },
+            InjectedBug::ResendRunsAnywhere },
+        { "a crossed answer is accepted as correct", { Violation::WrongAnswer }, InjectedBug::AcceptsCrossedAnswers },
+        { "positions of a broken stream are forgotten", { Violation::SplicedAnswer }, InjectedBug::ForgetsPositions },
+        { "messages are lost without breaking the stream", { Violation::NeverEnded, Violation::SlotLeak },
+            InjectedBug::LosesMessages },
+        { "a router never detects that it is isolated", { Violation::WorkOnLeavingTarget }, InjectedBug::None,
+            [](routing::RouterSettings& it) {
+                it.freshness = it.maxConfigLag = it.pauseThreshold = std::chrono::hours(1);
+            } },
+        { "a planned stop does not wait", { Violation::NeverEnded }, InjectedBug::None,
+            [](routing::RouterSettings& it) { it.maxStopTime = Duration(0); } },
     };
 }
 
 } // namespace
 
-TEST_CASE("every promise is seen to be broken when it is")
+TEST_CASE("each injected bug violates the expected invariants")
 {
-    // docs/design/testing.md lists these faults. A property that none of them breaks would prove nothing.
+    // docs/design/testing.md lists these bugs. A property that none of them violates would prove nothing.
     for (const Mutant& mutant : mutants()) {
-        std::set<Breach> missing = mutant.expected;
+        std::set<Violation> missing = mutant.expected;
         for (std::uint64_t seed = 1; seed <= 40 && !missing.empty(); ++seed) {
             Scenario scenario { seed, 2 + seed % 4, 1 + static_cast<std::uint32_t>(seed % 2), 60,
-                std::vector<bool>(Trial::faultKinds, true) };
+                std::vector<bool>(ScheduleRunner::faultKinds, true) };
             FleetFake::Options options;
-            options.sabotage = mutant.sabotage;
+            options.injectedBug = mutant.injectedBug;
             options.adjust = mutant.adjust;
-            for (const Breach it : Trial(scenario, options).run())
+            for (const Violation it : ScheduleRunner(scenario, options).run())
                 missing.erase(it);
         }
         INFO(mutant.name);
--- a/tests/RoutingSchedulingTest.cpp
+++ b/tests/RoutingSchedulingTest.cpp
@@ -1,4 +1,4 @@
-// Fair shares and busy slots over several routers.
+// Fair shares and slot utilisation across several routers.
 
 #include "RoutingFleets.h"
 
@@ -12,7 +12,7 @@
 
 constexpr int targets = 12;
 constexpr std::uint32_t slotsPerTarget = 4;
-constexpr int slotsInAll = targets * slotsPerTarget;
+constexpr int totalSlots = targets * slotsPerTarget;
 
 std::unique_ptr<FleetFake> largeFleet(FleetFake::Options options)
 {
@@ -28,8 +28,8 @@
     return fleet;
 }
 
-/// Costs between 5 and 600 ms with a long tail, mean about 100.
-Duration someCost(Random& random)
+/// Costs between 5 and 600 ms with a long tail; mean about 100 ms.
+Duration randomCost(Random& random)
 {
     return std::chrono::milliseconds(std::clamp(static_cast<int>(-100 * std::log(1 - random.fraction())), 5, 600));
 }
@@ -40,47 +40,48 @@
         / static_cast<double>(fleet.slotTimeWhileWaiting().count());
 }
 
-/// Three customers, each with all its callers on routers of its own, all backlogged for half a minute.
-/// @param factor of the caller's hints, from the true cost.
+/// Three customers, each sending through its own set of routers, all backlogged for half a minute.
+/// @param hintFactor upper bound of the caller's cost hints, relative to the true cost.
 /// @return the largest difference of normalised service, as a multiple of the bound that the owners export.
 double worstGap(FleetFake& fleet, double hintFactor)
 {
     SeededRandom random(11);
-    struct Party {
+    struct CustomerLoad {
         std::string customer;
         double weight;
         std::vector<std::size_t> routers;
     };
-    const std::vector<Party> parties { { "batch", 1, { 0 } }, { "tellers", 1, { 1, 2, 3, 4, 5, 6 } },
+    const std::vector<CustomerLoad> loads { { "batch", 1, { 0 } }, { "tellers", 1, { 1, 2, 3, 4, 5, 6 } },
         { "pensioners", 2, { 7 } } };
-    const auto sendSome = [&](int count) {
-        for (const Party& it : parties) {
+    const auto sendBatch = [&](int count) {
+        for (const CustomerLoad& it : loads) {
             for (int n = 0; n < count; ++n) {
-                Send send { .customer = it.customer, .cost = someCost(random) };
+                Send send { .customer = it.customer, .cost = randomCost(random) };
                 send.hint = hintFactor * static_cast<double>(send.cost / 1ms) * random.fraction();
                 fleet.send(it.routers[random.below(it.routers.size())], send);
             }
         }
     };
-    sendSome(1500);
+    sendBatch(1500);
     double worst = 0;
-    std::vector<double> since;
+    std::vector<double> baseline;
     for (int step = 0; step < 300; ++step) {
         fleet.run(100ms);
-        sendSome(20);
-        std::vector<double> got;
-        got.reserve(parties.size());
-        for (const Party& it : parties)
-            got.push_back(fleet.serviceOf(it.customer) / it.weight);
+        sendBatch(20);
+        std::vector<double> received;
+        received.reserve(loads.size());
+        for (const CustomerLoad& it : loads)
+            received.push_back(fleet.serviceOf(it.customer) / it.weight);
         if (step < 5) {
-            since = got; // All backlogged everywhere, and costs have been learned.
+            baseline = received; // From here on all customers are backlogged at all of their routers and costs have
+                                 // been learned.
             continue;
         }
-        double least = got[0] - since[0];
+        double least = received[0] - baseline[0];
         double most = least;
-        for (std::size_t n = 1; n < got.size(); ++n) {
-            least = std::min(least, got[n] - since[n]);
-            most = std::max(most, got[n] - since[n]);
+        for (std::size_t n = 1; n < received.size(); ++n) {
+            least = std::min(least, received[n] - baseline[n]);
+            most = std::max(most, received[n] - baseline[n]);
         }
         double bound = 0;
         for (std::size_t n = 0; n < fleet.routers(); ++n)
@@ -94,9 +95,9 @@
 
 TEST_CASE("no slot idles beyond a round trip while work waits")
 {
-    // Symptom: with several cells three quarters of all slots idle although thousands of requests wait.
-    // Sequence: all load comes through one router, or an equal part through each; the pool has 1 to 12 cells.
-    // Cause: a customer's requests waited in one cell, and the owners of the others heard of them a second later.
+    // Guards against idle slots while thousands of requests wait. A customer's requests used to wait in one cell, and
+    // the owners of the other cells learned of them a second later; three quarters of all slots idled. The load arrives
+    // through one router or evenly through all, with 1 to 12 cells.
     FleetFake::Options options;
     options.cellsPerPool = GENERATE(1u, 3u, 6u, 12u);
     const bool one = GENERATE(true, false);
@@ -105,16 +106,16 @@
         fleet->send(one ? 2 : static_cast<std::size_t>(n) % 8, { n % 3 ? "batch" : "tellers" });
     fleet->run(4800ms);
     INFO("cells " << options.cellsPerPool << (one ? ", one router" : ", all routers"));
-    // The round trip is 3 ms: settlement, grant, start. A request takes 100.
+    // The round trip takes 3 ms (settlement, grant, start), and a request takes 100 ms.
     REQUIRE(idleShare(*fleet) < 0.031);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a pool just below its capacity leaves few slots idle while work waits")
+TEST_CASE("a pool just below its capacity leaves few slots idle while requests wait")
 {
-    // Symptom: at nine tenths of the capacity a request waits in a busy cell while a slot of another one idles.
-    // Sequence: requests come one by one, through one router or all.
-    // Cause: where only a few wait, they cannot wait in every cell, and digests come once a second.
+    // Guards against a request waiting in a busy cell while a slot of another cell idles. At 90 percent of the capacity
+    // only a few requests wait, so they cannot wait in every cell, and digests arrive once a second. Requests arrive
+    // one by one, through one router or all.
     FleetFake::Options options;
     options.cellsPerPool = GENERATE(1u, 6u, 12u);
     const bool one = GENERATE(true, false);
@@ -124,19 +125,19 @@
     double next = 0;
     while (next < 10000) {
         fleet->run(Duration(static_cast<Duration::rep>(next * 1000)) - (fleet->now() - begin));
-        fleet->send(one ? 0 : random.below(8), { .customer = "batch", .cost = someCost(random) });
-        next -= std::log(1 - random.fraction()) * 100 / (0.9 * slotsInAll);
+        fleet->send(one ? 0 : random.below(8), { .customer = "batch", .cost = randomCost(random) });
+        next -= std::log(1 - random.fraction()) * 100 / (0.9 * totalSlots);
     }
     INFO("cells " << options.cellsPerPool << (one ? ", one router" : ", all routers"));
     REQUIRE(idleShare(*fleet) < 0.06);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("shares are fair over routers, wherever a customer's callers are")
 {
-    // Symptom: a customer whose callers all use one router gets less than one spread over six, or more.
-    // Sequence: three customers of different weights, unevenly placed, all backlogged, with hints up to 30 times off.
-    // Cause: shares counted per router are not shares of the fleet.
+    // Guards against shares that are fair per router but not across the fleet: a customer whose callers all use one
+    // router would get a different share from one spread over six. Three customers of different weights are placed
+    // unevenly, all backlogged, with hints up to 30 times off.
     FleetFake::Options options;
     options.cellsPerPool = GENERATE(1u, 3u, 6u, 12u);
     const double hintFactor = GENERATE(0.0, 30.0);
@@ -144,10 +145,10 @@
     const double gap = worstGap(*fleet, hintFactor);
     INFO("cells " << options.cellsPerPool << ", gap " << gap << " of the bound");
     REQUIRE(gap <= 1);
-    requireKept(*fleet);
+    requireNoViolations(*fleet);
 }
 
-TEST_CASE("the check of fair shares notices an unfair policy")
+TEST_CASE("the fairness check detects an unfair policy")
 {
     FleetFake::Options options;
     options.cellsPerPool = 1;
@@ -158,9 +159,9 @@
 
 TEST_CASE("a flood through one router")
 {
-    // Symptom: while one customer floods a router, the owners' memory grows with the flood and others wait longer.
-    // Sequence: 5,000 requests of one customer come at once; another one sends a few, through the same router.
-    // Cause: offers without a window make a flood in one router a flood everywhere.
+    // Guards against the owners' memory growing with a flood and other customers waiting longer. 5,000 requests of one
+    // customer arrive at once, and others send a few, one through the same router. Without a window of offers a flood
+    // at one router would reach every owner.
     const auto cells = GENERATE(1u, 6u);
     const auto waits = [cells](int flood) {
         FleetFake::Options options;
@@ -184,7 +185,7 @@
         for (const RequestId& it : others)
             result.push_back(onlyEnd(*fleet, it).at - fleet->record(it).sent);
         std::sort(result.begin(), result.end());
-        requireKept(*fleet);
+        requireNoViolations(*fleet);
         return result[result.size() * 95 / 100];
     };
     const Duration modest = waits(1500);
--- a/tests/RoutingStopTest.cpp
+++ b/tests/RoutingStopTest.cpp
@@ -1,4 +1,4 @@
-// Planned stops: they cut off nothing, and what was remembered lives on.
+// Planned stops: no caller is cut off, and remembered outcomes are kept.
 
 #include "RoutingFleets.h"
 
@@ -19,20 +19,19 @@
     return send;
 }
 
-/// Longer than callers keep an answer to "which address".
+/// Longer than callers cache a /v1/locate answer.
 constexpr Duration stopTime = 12s;
 
 } // namespace
 
 TEST_CASE("a planned stop under load")
 {
-    // Symptom: callers of a router that is replaced are cut off, or the process never ends.
-    // Sequence: the owner of the cells is stopped with work of its own and of others waiting and running; callers with
-    // an old answer to "which address" still come for five seconds.
-    // Cause: a stop has to be told before it is done, and ends only when nothing is left.
+    // Guards against cutting off callers of a stopping router and against a stop that never ends. The owner of the
+    // cells is stopped while its own and other routers' requests wait and run, and callers with a cached /v1/locate
+    // answer still arrive for five seconds.
     auto fleet = oneCellFleet();
     const std::size_t leaving = fleet->ownerOf("model");
-    const std::size_t other = otherThan(*fleet, { leaving });
+    const std::size_t other = routerOtherThan(*fleet, { leaving });
     for (int n = 0; n < 60; ++n) {
         fleet->send(leaving, { "tellers" });
         fleet->send(other, { "batch" });
@@ -51,15 +50,15 @@
     for (const RequestId& it : late)
         REQUIRE(onlyEnd(*fleet, it).outcome == Outcome::Completed);
     REQUIRE(onlyEnd(*fleet, slow).outcome == Outcome::Completed);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
     REQUIRE(countEnds(*fleet, Outcome::Completed) == fleet->records().size());
 }
 
-TEST_CASE("the memory of outcomes outlives a planned stop")
+TEST_CASE("remembered outcomes survive a planned stop")
 {
-    // Symptom: a caller whose reply was lost shortly before a release gets "unknown" for a posting that went well.
-    // Sequence: a posting ends, its router stops as planned, and so does the one that took over; then the resend comes.
-    // Cause: what the session's holder remembered ended with its process.
+    // Guards against answering "unknown" for a request that succeeded and whose reply was lost shortly before a
+    // release. The router of the session stops as planned, then its successor does too, and the resend arrives after
+    // that; the remembered outcome must not end with the process.
     auto fleet = smallFleet({ .routers = 5 });
     const std::string session = fleet->session(0);
     const RequestId first = fleet->send(0, posting(session, 1));
@@ -69,26 +68,25 @@
         fleet->stop(stopped);
         fleet->run(stopTime);
         REQUIRE(fleet->exited(stopped));
-        const std::size_t asked = otherThan(*fleet, { 0, stopped });
+        const std::size_t asked = routerOtherThan(*fleet, { 0, stopped });
         const RequestId again = fleet->send(asked, posting(session, 1));
         const RequestId never = fleet->send(asked, posting(session, 2));
         fleet->run(1s);
         REQUIRE(onlyEnd(*fleet, again).body == onlyEnd(*fleet, first).body);
         REQUIRE(onlyEnd(*fleet, never).outcome == Outcome::NotRun);
-        REQUIRE(onlyEnd(*fleet, never).kind == ErrorKind::Internal); // Handed over, so the kind is in the answer.
+        REQUIRE(onlyEnd(*fleet, never).kind == ErrorKind::Internal); // Forwarded, so the error kind is in the answer.
         for (std::size_t n = 1; n < 5 && generation == 0; ++n) {
             if (fleet->status(n).outcomeEntries)
                 stopped = n;
         }
     }
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("the successor crashes while it takes over")
+TEST_CASE("a successor does not confirm the handover")
 {
-    // Symptom: the stopping router waits for ever, or exits with the only copy of its memory.
-    // Sequence: the first successor is paused when the parts are sent, and does not confirm.
-    // Cause: a hand-over without confirmation is a hope.
+    // Guards against a stopping router that waits forever or exits with the only copy of its outcome memory. The
+    // streams to one candidate successor are cut shortly before the handover, so that it cannot confirm.
     auto fleet = smallFleet({ .routers = 4 });
     const std::string session = fleet->session(0);
     const RequestId first = fleet->send(0, posting(session, 1));
@@ -107,16 +105,16 @@
     const RequestId again = fleet->send(lost, posting(session, 1));
     fleet->run(1s);
     REQUIRE(onlyEnd(*fleet, again).body == onlyEnd(*fleet, first).body);
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a stop waits for what may not be repeated, and a resend during the stop is answered")
+TEST_CASE("a stop waits for non-repeatable requests, and a resend during the stop is answered")
 {
     auto fleet = smallFleet();
     const std::string session = fleet->session(0);
     const RequestId first = fleet->send(0, posting(session, 1, 10s));
     fleet->run(100ms);
-    fleet->callerLeaves(first);
+    fleet->disconnectCaller(first);
     fleet->stop(0);
     fleet->run(8s);
     REQUIRE_FALSE(fleet->exited(0));
@@ -124,7 +122,7 @@
     fleet->run(6s);
     REQUIRE(onlyEnd(*fleet, again).outcome == Outcome::Completed);
     REQUIRE(fleet->exited(0));
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
 TEST_CASE("all routers but one stop at once")
@@ -138,14 +136,14 @@
     fleet->run(20s);
     REQUIRE(fleet->exited(0));
     REQUIRE(fleet->exited(1));
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
     REQUIRE(countEnds(*fleet, Outcome::Completed) == fleet->records().size());
 }
 
 TEST_CASE("the last router stops")
 {
-    // Symptom: the last router of a fleet that is taken down never exits, or cuts off what it runs.
-    // Cause: it owns no cell any more, nobody else does, and there is no successor for its memory.
+    // Guards against the last router of a fleet that is shut down never exiting, or cutting off what it runs. It owns
+    // no cells any more, no other router does, and there is no successor for its outcome memory.
     auto fleet = smallFleet({ .routers = 1 });
     const std::string session = fleet->session(0);
     fleet->send(0, posting(session, 1));
@@ -155,15 +153,14 @@
     fleet->stop(0);
     fleet->run(30s);
     REQUIRE(fleet->exited(0));
-    requireKept(*fleet);
+    requireNoViolations(*fleet);
     REQUIRE(countEnds(*fleet, Outcome::Completed) == fleet->records().size());
 }
 
 TEST_CASE("the only target dies during a stop")
 {
-    // Symptom: a stop takes ten minutes because of requests that can never run.
-    // Sequence: the pool's targets die, and the router with waiting requests stops; they live again later.
-    // Cause: waiting requests count as in flight.
+    // Guards against a stop that lasts the full ten minutes because of requests that cannot run. Waiting requests count
+    // as in flight. The pool's targets die, the router with waiting requests stops, and the targets come back later.
     auto fleet = smallFleet();
     fleet->killTarget("worker-1");
     fleet->killTarget("worker-2");
@@ -175,15 +172,14 @@
     fleet->reviveTarget("worker-2");
     fleet->run(20s);
     REQUIRE(fleet->exited(0));
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
 
-TEST_CASE("a request comes on an open connection just before the exit")
+TEST_CASE("a request arrives on an open connection just before the exit")
 {
-    // Symptom: a caller is cut off by a planned stop.
-    // Sequence: the router has stopped listening and hands its memory over; a request for another holder's session
-    // comes on a connection that was open before, and is handed to that holder.
-    // Cause: the exit waited for the memory only.
+    // Guards against an exit that waits for the handover only and cuts off a caller. The router no longer listens and
+    // hands its outcome memory over; a request for another holder's session arrives on an open connection and is
+    // forwarded to that holder.
     auto fleet = smallFleet();
     const std::string own = fleet->session(0);
     const std::string other = fleet->session(1);
@@ -198,5 +194,5 @@
     }
     fleet->run(stopTime);
     REQUIRE(fleet->exited(0));
-    requireQuiet(*fleet);
+    requireQuiescent(*fleet);
 }
