--- a/bench/RoutingFleet.h
+++ b/bench/RoutingFleet.h
@@ -79,7 +79,7 @@
     void reset();
     FleetCosts costs() const;
 
-    /// Changes the weight of one customer through the log of all routers.
+    /// Changes the weight of one customer through the log, which all routers read.
     void changeConfiguration();
 
     /// The VMs of these routers fail without notice.
