--- a/apps/sagechute-edge/AgeText.h
+++ b/apps/sagechute-edge/AgeText.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Durations and ages as log lines have them.
+/// Formats durations and ages for log fields.
 
 #include <sagechute/Core.h>
 
@@ -10,18 +10,18 @@
 
 namespace sagechute::edge {
 
-inline std::chrono::milliseconds toMs(Duration duration)
+inline std::chrono::milliseconds toMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
 }
 
-/// @return whole milliseconds, for a log line.
-inline std::string msText(Duration duration) { return std::to_string(toMs(duration).count()); }
+/// @return whole milliseconds.
+inline std::string formatMs(Duration duration) { return std::to_string(toMilliseconds(duration).count()); }
 
-/// @return how long ago something was known, in milliseconds, for a log line.
-inline std::string ageText(std::optional<TimePoint> until, TimePoint now)
+/// @return whole milliseconds from @p until to @p now, or "unknown" without @p until.
+inline std::string formatAgeMs(std::optional<TimePoint> until, TimePoint now)
 {
-    return until ? msText(now - *until) : "unknown";
+    return until ? formatMs(now - *until) : "unknown";
 }
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/ConfigIntake.cpp
+++ b/apps/sagechute-edge/ConfigIntake.cpp
@@ -6,7 +6,7 @@
 
 namespace sagechute::edge {
 
-void ConfigIntake::adopt(const news::ConfigRecord& record, const std::string& source)
+void ConfigIntake::install(const news::ConfigRecord& record, const std::string& source)
 {
     absl::StatusOr<dispatch::FleetConfig> config = m_store.decodeConfig(record.document);
     if (!config.ok()) {
@@ -17,15 +17,15 @@
     const std::size_t routes = config->routes.size();
     const std::size_t customers = config->customers.size();
     const auto tokensPerSecond = static_cast<std::uint64_t>(config->tokensPerSecond);
-    const std::optional<TimePoint> until = m_state.knowledge().configUntil;
-    if (!m_state.adoptConfig(record, std::move(*config)))
+    const std::optional<TimePoint> knownUntil = m_state.knowledge().configUntil;
+    if (!m_state.installConfig(record, std::move(*config)))
         return;
-    m_next = record.offset + 1;
+    m_nextOffset = record.offset + 1;
     process::log(process::LogLevel::Info, "configuration-in-force",
         { { "version", std::to_string(record.version) }, { "offset", std::to_string(record.offset) },
             { "source", source }, { "routes", std::to_string(routes) }, { "customers", std::to_string(customers) },
             { "tokens-per-second", std::to_string(tokensPerSecond) },
-            { "former-age-ms", ageText(until, unsuspendedNow()) } });
+            { "former-age-ms", formatAgeMs(knownUntil, unsuspendedNow()) } });
 }
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/ConfigIntake.h
+++ b/apps/sagechute-edge/ConfigIntake.h
@@ -4,7 +4,7 @@
 
 namespace sagechute::edge {
 
-/// Puts configurations in force, whoever brings them. May be called from any thread.
+/// Decodes configurations from the store or from other routers and puts them in force. Thread-safe.
 class ConfigIntake {
 public:
     ConfigIntake(EdgeState& state, const news::FleetStore& store)
@@ -13,16 +13,17 @@
     {
     }
 
-    /// @param source the router that handed it over, or "store".
-    void adopt(const news::ConfigRecord&, const std::string& source);
+    /// Logs and ignores a record that cannot be decoded; ignores one that is not newer than the configuration in force.
+    /// @param source the router that sent the record, or "store".
+    void install(const news::ConfigRecord&, const std::string& source);
 
-    /// @return the record after the newest configuration in force; zero before the first.
-    LogOffset next() const { return m_next; }
+    /// @return offset after the record of the configuration in force; zero before the first one.
+    LogOffset nextOffset() const { return m_nextOffset; }
 
 private:
     EdgeState& m_state;
     const news::FleetStore& m_store;
-    std::atomic<LogOffset> m_next { 0 };
+    std::atomic<LogOffset> m_nextOffset { 0 };
 };
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/CrashJournal.cpp
+++ b/apps/sagechute-edge/CrashJournal.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-    constexpr Duration writePause = std::chrono::milliseconds(50);
-    constexpr Duration readPause = std::chrono::milliseconds(250);
+    constexpr Duration writeInterval = std::chrono::milliseconds(50);
+    constexpr Duration pollInterval = std::chrono::milliseconds(250);
 
-    /// After a call that the store did not answer.
-    constexpr Duration retryPause = std::chrono::seconds(1);
+    /// After a failed call to the store.
+    constexpr Duration retryDelay = std::chrono::seconds(1);
 
-    /// How long the store may keep a read; what is new it answers at once.
-    constexpr std::chrono::milliseconds readWait { 5000 };
+    /// Longest time the store may hold a read without news; new records are returned at once.
+    constexpr std::chrono::milliseconds longPollTimeout { 5000 };
 
-    constexpr std::size_t mostToWrite = 1024;
+    constexpr std::size_t maxPendingRecords = 1024;
 
 } // namespace
 
@@ -29,7 +29,7 @@
 
 CrashJournal::~CrashJournal()
 {
-    m_gate.stop();
+    m_sleeper.stop();
     for (std::thread& it : m_threads)
         it.join();
 }
@@ -43,16 +43,16 @@
 void CrashJournal::write(const std::vector<quarantine::CrashRecord>& records)
 {
     std::lock_guard lock(m_mutex);
-    m_toWrite.insert(m_toWrite.end(), records.begin(), records.end());
-    while (m_toWrite.size() > mostToWrite)
-        m_toWrite.pop_front();
+    m_pendingRecords.insert(m_pendingRecords.end(), records.begin(), records.end());
+    while (m_pendingRecords.size() > maxPendingRecords)
+        m_pendingRecords.pop_front();
 }
 
 void CrashJournal::runWriter()
 {
-    Duration pause = writePause;
-    while (m_gate.pause(pause))
-        pause = flush() ? writePause : retryPause;
+    Duration delay = writeInterval;
+    while (m_sleeper.sleepFor(delay))
+        delay = flush() ? writeInterval : retryDelay;
 }
 
 bool CrashJournal::flush()
@@ -60,83 +60,84 @@
     std::vector<quarantine::CrashRecord> records;
     {
         std::lock_guard lock(m_mutex);
-        records.assign(m_toWrite.begin(), m_toWrite.end());
+        records.assign(m_pendingRecords.begin(), m_pendingRecords.end());
     }
     if (records.empty())
         return true;
-    // Written twice it says the same, so that a call without an answer is made again.
+    // Writes are idempotent, so that a call without an answer can be repeated.
     if (!m_store.writeCrashes(records).ok())
         return false;
     std::lock_guard lock(m_mutex);
     for (const quarantine::CrashRecord& it : records) {
         if (it.isCleared)
-            m_written.erase(it.request);
-        if (!m_toWrite.empty() && m_toWrite.front() == it)
-            m_toWrite.pop_front();
+            m_storedQuarantines.erase(it.request);
+        if (!m_pendingRecords.empty() && m_pendingRecords.front() == it)
+            m_pendingRecords.pop_front();
     }
     return true;
 }
 
 void CrashJournal::runReader()
 {
-    Duration pause {};
-    while (m_gate.pause(pause)) {
-        pause = readPause;
-        const bool isAlone = m_fleet.peers(steadyNow()).empty();
-        if (!isAlone && !m_fleet.readStanding(m_times).isReader)
+    Duration delay {};
+    while (m_sleeper.sleepFor(delay)) {
+        delay = pollInterval;
+        const bool hasNoPeers = m_fleet.peers(steadyNow()).empty();
+        if (!hasNoPeers && !m_fleet.readStanding(m_times).isReader)
             continue;
-        if (!follow())
-            pause = retryPause;
+        if (!pollStore())
+            delay = retryDelay;
     }
 }
 
-bool CrashJournal::follow()
+bool CrashJournal::pollStore()
 {
-    const std::vector<quarantine::CrashCase> missing = unwritten();
-    if (m_next && !missing.empty()) {
+    const std::vector<quarantine::CrashCase> missing = missingFromStore();
+    if (m_nextOffset && !missing.empty()) {
         if (!m_store.writeQuarantined(missing).ok())
             return false;
         std::lock_guard lock(m_mutex);
         for (const quarantine::CrashCase& it : missing)
-            m_written.insert(it.request);
+            m_storedQuarantines.insert(it.request);
     }
     const absl::StatusOr<news::CrashNews> found
-        = m_next ? m_store.followCrashes(*m_next, readWait) : m_store.readCrashes();
+        = m_nextOffset ? m_store.followCrashes(*m_nextOffset, longPollTimeout) : m_store.readCrashes();
     if (!found.ok()) {
         if (errorKind(found.status()) == ErrorKind::RetentionExceeded)
-            readAnew();
+            restartFromSnapshot();
         return false;
     }
-    m_next = found->next;
-    take(*found);
+    m_nextOffset = found->next;
+    applyRecords(*found);
     return true;
 }
 
-void CrashJournal::readAnew()
+void CrashJournal::restartFromSnapshot()
 {
-    m_next.reset();
+    m_nextOffset.reset();
     std::lock_guard lock(m_mutex);
-    m_written.clear();
+    m_storedQuarantines.clear();
 }
 
-void CrashJournal::take(const news::CrashNews& news)
+void CrashJournal::applyRecords(const news::CrashNews& update)
 {
     {
         std::lock_guard lock(m_mutex);
-        m_written.insert(news.quarantined.begin(), news.quarantined.end());
-        for (const quarantine::RequestKey it : news.released)
-            m_written.erase(it);
+        m_storedQuarantines.insert(update.quarantined.begin(), update.quarantined.end());
+        for (const quarantine::RequestKey it : update.released)
+            m_storedQuarantines.erase(it);
     }
     const TimePoint now = steadyNow();
-    m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.crashes().learn(now, news.records); });
+    m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.crashes().learn(now, update.records); });
 }
 
-std::vector<quarantine::CrashCase> CrashJournal::unwritten()
+std::vector<quarantine::CrashCase> CrashJournal::missingFromStore()
 {
     std::vector<quarantine::CrashCase> cases
         = m_state.withDispatcher([](dispatch::Dispatcher& it) { return it.crashes().cases(); });
     std::lock_guard lock(m_mutex);
-    std::erase_if(cases, [this](const auto& it) { return !it.isQuarantined() || m_written.contains(it.request); });
+    std::erase_if(
+        cases, [this](const auto& it) { return !it.isQuarantined() || m_storedQuarantines.contains(it.request); });
     return cases;
 }
 
--- a/apps/sagechute-edge/CrashJournal.h
+++ b/apps/sagechute-edge/CrashJournal.h
@@ -1,52 +1,53 @@
 #pragma once
 
 #include "Fleet.h"
-#include "StopGate.h"
+#include "InterruptibleSleeper.h"
 
 #include <deque>
 #include <thread>
 
 namespace sagechute::edge {
 
-/// Keeps in the store what routers know of requests that crash targets, for routers that can't tell each other and for
-/// those that start after all were lost.
+/// Persists the crash records of requests that crash targets in the store, for routers that cannot reach each other and
+/// for those that start after all routers were lost.
 ///
-/// One thread writes what this router has established. Another follows the journal if this router reads the store for
-/// others, or hears of none; everybody else is told by heartbeats.
+/// One thread writes this router's own findings. Another polls the store's records if this router reads the store for
+/// others or has no peers; all other routers receive the records with heartbeats.
 class CrashJournal {
 public:
     CrashJournal(EdgeState&, Fleet&, news::FleetStore&, const Options&);
 
-    /// Waits for the calls in flight, for some seconds at most.
+    /// Blocks until calls in flight have ended, at most some seconds.
     ~CrashJournal();
 
     void start();
 
-    /// Records to be written. Any thread; doesn't wait. While the store is away the oldest are dropped.
+    /// Queues records for writing. Thread-safe and non-blocking. The oldest records are dropped when the queue is full,
+    /// as during a long outage of the store.
     void write(const std::vector<quarantine::CrashRecord>&);
 
 private:
     void runWriter();
     void runReader();
 
-    /// @return whether the store took all that was to be written.
+    /// Writes all pending records. @return false when the store did not accept them.
     bool flush();
-    bool follow();
-    void readAnew();
-    void take(const news::CrashNews&);
+    bool pollStore();
+    void restartFromSnapshot();
+    void applyRecords(const news::CrashNews&);
 
-    /// @return quarantined requests that the store, as far as it was read, does not name.
-    std::vector<quarantine::CrashCase> unwritten();
+    /// @return quarantined requests that are not in the store, as far as it has been read.
+    std::vector<quarantine::CrashCase> missingFromStore();
 
     EdgeState& m_state;
     Fleet& m_fleet;
     news::FleetStore& m_store;
     const news::NewsTimes m_times;
-    StopGate m_gate;
+    InterruptibleSleeper m_sleeper;
     std::mutex m_mutex;
-    std::deque<quarantine::CrashRecord> m_toWrite;
-    std::set<quarantine::RequestKey> m_written; ///< Quarantined requests that the store names.
-    std::optional<LogOffset> m_next; ///< Of the reading thread.
+    std::deque<quarantine::CrashRecord> m_pendingRecords;
+    std::set<quarantine::RequestKey> m_storedQuarantines; ///< Quarantined requests that the store holds.
+    std::optional<LogOffset> m_nextOffset; ///< Used by the reading thread only.
     std::vector<std::thread> m_threads;
 };
 
--- a/apps/sagechute-edge/CrashWatch.cpp
+++ b/apps/sagechute-edge/CrashMonitor.cpp
@@ -1,4 +1,4 @@
-#include "CrashWatch.h"
+#include "CrashMonitor.h"
 
 #include <sagechute/Process.h>
 
@@ -10,16 +10,16 @@
 
     using quarantine::CheckResult;
 
-    /// A refusal comes at once; a VM that says nothing is asked again.
-    constexpr std::chrono::milliseconds checkTimeout { 300 };
+    /// A refused connection is reported at once; a VM that does not answer is probed again.
+    constexpr std::chrono::milliseconds probeTimeout { 300 };
 
-    /// In one line.
-    constexpr std::size_t mostNamed = 8;
+    /// Limit on the keys in one log line.
+    constexpr std::size_t maxListedRequests = 8;
 
-    /// Connects, and closes without a request.
-    class ConnectSink final : public net::TransferSink {
+    /// Connects and closes the connection without sending a request.
+    class ConnectProbeSink final : public net::TransferSink {
     public:
-        ConnectSink(EdgeState& state, quarantine::TargetCheck check)
+        ConnectProbeSink(EdgeState& state, quarantine::TargetCheck check)
             : m_state(state)
             , m_check(std::move(check))
         {
@@ -28,64 +28,64 @@
     private:
         bool onBeforeRequest() override
         {
-            m_isAccepted = true;
+            m_isConnected = true;
             return false;
         }
         void onHeaders(int, const std::vector<net::Field>&) override { }
         bool onBody(std::string_view) override { return true; }
         void onEnd(const net::TransferResult& result) override
         {
-            const CheckResult unaccepted = result.isRefused ? CheckResult::Refused : CheckResult::NoAnswer;
+            const CheckResult failure = result.isRefused ? CheckResult::Refused : CheckResult::NoAnswer;
             m_state.withDispatcher([&](dispatch::Dispatcher& it) {
-                it.crashes().checked(steadyNow(), m_check, m_isAccepted ? CheckResult::Accepted : unaccepted);
+                it.crashes().checked(steadyNow(), m_check, m_isConnected ? CheckResult::Accepted : failure);
             });
         }
 
         EdgeState& m_state;
         const quarantine::TargetCheck m_check;
-        bool m_isAccepted = false;
+        bool m_isConnected = false;
     };
 
-    std::string join(const std::set<quarantine::RequestKey>& requests)
+    std::string joinKeys(const std::set<quarantine::RequestKey>& requests)
     {
         std::string text;
         std::size_t n = 0;
         for (const quarantine::RequestKey it : requests) {
-            if (n++ < mostNamed)
+            if (n++ < maxListedRequests)
                 text += (text.empty() ? "" : ",") + quarantine::toHex(it);
         }
-        if (n > mostNamed)
-            text += " +" + std::to_string(n - mostNamed);
+        if (n > maxListedRequests)
+            text += " +" + std::to_string(n - maxListedRequests);
         return text;
     }
 
 } // namespace
 
-void CrashWatch::tick(TimePoint now)
+void CrashMonitor::tick(TimePoint now)
 {
     std::vector<quarantine::TargetCheck> checks;
-    quarantine::CrashNews news;
+    quarantine::CrashNews events;
     m_state.withDispatcher([&](dispatch::Dispatcher& it) {
         checks = it.crashes().checksDue(now);
-        news = it.crashes().takeNews();
+        events = it.crashes().takeNews();
     });
     for (const quarantine::TargetCheck& it : checks)
-        check(it);
-    tell(news);
-    if (!news.own.empty())
-        m_journal.write(news.own);
+        probe(it);
+    report(events);
+    if (!events.own.empty())
+        m_journal.write(events.own);
 }
 
-void CrashWatch::check(const quarantine::TargetCheck& check)
+void CrashMonitor::probe(const quarantine::TargetCheck& check)
 {
     net::ClientRequest request;
     request.url = "http://" + check.address;
-    request.connectTimeout = checkTimeout;
+    request.connectTimeout = probeTimeout;
     request.freshConnection = true;
-    m_client.start(std::move(request), std::make_unique<ConnectSink>(m_state, check));
+    m_client.start(std::move(request), std::make_unique<ConnectProbeSink>(m_state, check));
 }
 
-std::string CrashWatch::nameOf(quarantine::TargetKey key) const
+std::string CrashMonitor::targetName(quarantine::TargetKey key) const
 {
     for (const dispatch::Target& it : m_state.withTargets([](const news::TargetRoster& it) { return it.targets(); })) {
         if (dispatch::keyOf(it.life()) == key)
@@ -94,29 +94,30 @@
     return std::to_string(key);
 }
 
-void CrashWatch::tell(const quarantine::CrashNews& news)
+void CrashMonitor::report(const quarantine::CrashNews& events)
 {
-    for (const quarantine::TargetEnd& it : news.ends) {
-        m_metrics.targetEnded(it.evidence);
+    for (const quarantine::TargetEnd& it : events.ends) {
+        m_metrics.recordTargetEnd(it.evidence);
         process::log(process::LogLevel::Warning, "target-ended",
-            { { "target", nameOf(it.target) }, { "evidence", std::string(toString(it.evidence)) },
-                { "at-work", std::to_string(it.requests.size()) }, { "keys", join(it.requests) } });
+            { { "target", targetName(it.target) }, { "evidence", std::string(toString(it.evidence)) },
+                { "at-work", std::to_string(it.requests.size()) }, { "keys", joinKeys(it.requests) } });
     }
-    for (const quarantine::CrashCase& it : news.quarantined) {
+    for (const quarantine::CrashCase& it : events.quarantined) {
         std::string targets;
         for (const quarantine::TargetKey target : it.targets)
-            targets += (targets.empty() ? "" : ",") + nameOf(target);
+            targets += (targets.empty() ? "" : ",") + targetName(target);
         process::log(process::LogLevel::Warning, "request-quarantined",
             { { "key", quarantine::toHex(it.request) }, { "targets", targets },
                 { "remedy",
-                    "find its customer by key=, and release it under /v1/quarantine once the targets bear it" } });
+                    "find the customer by key= in the request log; release it under /v1/quarantine once targets can "
+                    "process it" } });
     }
-    for (const quarantine::RequestKey it : news.released)
+    for (const quarantine::RequestKey it : events.released)
         process::log(process::LogLevel::Info, "request-released", { { "key", quarantine::toHex(it) } });
-    if (news.quarantined.empty() && news.released.empty())
+    if (events.quarantined.empty() && events.released.empty())
         return;
     const auto cases = m_state.withDispatcher([](dispatch::Dispatcher& it) { return it.crashes().cases(); });
-    m_metrics.quarantined().Set(static_cast<double>(
+    m_metrics.quarantinedRequests().Set(static_cast<double>(
         std::count_if(cases.begin(), cases.end(), [](const auto& it) { return it.isQuarantined(); })));
 }
 
--- a/apps/sagechute-edge/EdgeMetrics.cpp
+++ b/apps/sagechute-edge/EdgeMetrics.cpp
@@ -8,17 +8,18 @@
 
     using prometheus::Histogram;
 
-    /// Seconds; from a plain application's answer to the longest stream.
-    const Histogram::BucketBoundaries latencyBounds { 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.5, 5, 10, 20 };
+    /// In seconds; from a plain application's response time to the longest stream.
+    const Histogram::BucketBoundaries latencyBuckets { 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.5, 5, 10,
+        20 };
 
-    /// Parts of the bound: above a half of it routers read for themselves, above 0.55 they ask any other.
-    const Histogram::BucketBoundaries agePartBounds { 0.25, 0.4, 0.5, 0.55, 0.7, 0.85, 1, 1.25, 1.5, 2, 4 };
+    /// As a ratio of the bound. Above 0.5 a router reads the store itself; above 0.55 it also asks any other router.
+    const Histogram::BucketBoundaries ageRatioBuckets { 0.25, 0.4, 0.5, 0.55, 0.7, 0.85, 1, 1.25, 1.5, 2, 4 };
 
-    /// Seconds; sums are told several times a second and are dropped after two.
-    const Histogram::BucketBoundaries sumsAgeBounds { 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5 };
+    /// In seconds; sums are sent several times a second and are discarded after 2 s.
+    const Histogram::BucketBoundaries sumsAgeBuckets { 0.05, 0.1, 0.2, 0.3, 0.5, 0.75, 1, 1.5, 2, 3, 5 };
 
     Histogram& histogram(prometheus::Registry& registry, const char* name, const char* help,
-        const Histogram::BucketBoundaries& bounds = latencyBounds)
+        const Histogram::BucketBoundaries& bounds = latencyBuckets)
     {
         return prometheus::BuildHistogram().Name(name).Help(help).Register(registry).Add({}, bounds);
     }
@@ -36,10 +37,11 @@
                      .Name("sagechute_edge_attempts_total")
                      .Help("Attempts on targets, by how they ended")
                      .Register(metrics.registry()))
-    , m_answerEnds(prometheus::BuildCounter()
-                       .Name("sagechute_edge_unframed_answers_total")
-                       .Help("Answers of targets that ended with their connection, and streams cut inside an event")
-                       .Register(metrics.registry()))
+    , m_unframedAnswers(
+          prometheus::BuildCounter()
+              .Name("sagechute_edge_unframed_answers_total")
+              .Help("Answers of targets that ended with their connection, and streams cut inside an event")
+              .Register(metrics.registry()))
     , m_signals(prometheus::BuildCounter()
                     .Name("sagechute_edge_target_signals_total")
                     .Help("Answers of targets that say that they leave or ask for a pause, by which they say")
@@ -52,11 +54,11 @@
                        .Name("sagechute_edge_target_ends_total")
                        .Help("Targets that ended with requests of this router at work, by what showed it")
                        .Register(metrics.registry()))
-    , m_quarantined(prometheus::BuildGauge()
-                        .Name("sagechute_edge_quarantined_requests")
-                        .Help("Requests that are run no more, as targets end when they run them")
-                        .Register(metrics.registry())
-                        .Add({}))
+    , m_quarantinedRequests(prometheus::BuildGauge()
+                                .Name("sagechute_edge_quarantined_requests")
+                                .Help("Requests that are run no more, as targets end when they run them")
+                                .Register(metrics.registry())
+                                .Add({}))
     , m_duration(histogram(metrics.registry(), "sagechute_edge_request_seconds", "From arrival to the answer's end"))
     , m_firstEvent(
           histogram(metrics.registry(), "sagechute_edge_first_event_seconds", "From arrival to a stream's first event"))
@@ -77,9 +79,9 @@
                          .Help("Since when a change of the configuration or of targets in the store may be unknown")
                          .Register(metrics.registry())
                          .Add({}))
-    , m_knowledgeAgeParts(histogram(metrics.registry(), "sagechute_edge_knowledge_age_of_bound",
+    , m_knowledgeAgeRatio(histogram(metrics.registry(), "sagechute_edge_knowledge_age_of_bound",
           "The same as a part of the bound, looked at some times a second: how near it came between two scrapes",
-          agePartBounds))
+          ageRatioBuckets))
     , m_shareLevel(prometheus::BuildGauge()
                        .Name("sagechute_edge_share_level_tokens")
                        .Help("Tokens in the window up to which all customers can be served alike; +Inf: enough for all")
@@ -91,17 +93,17 @@
                           .Register(metrics.registry())
                           .Add({}))
     , m_sumsAge(histogram(metrics.registry(), "sagechute_edge_share_sums_age_seconds",
-          "Age of the oldest report in the sums over all routers, looked at once a second", sumsAgeBounds))
+          "Age of the oldest report in the sums over all routers, looked at once a second", sumsAgeBuckets))
 {
 }
 
-void EdgeMetrics::knowledgeAge(Duration age, Duration bound)
+void EdgeMetrics::recordKnowledgeAge(Duration age, Duration bound)
 {
     m_knowledgeAge.Set(seconds(age));
-    m_knowledgeAgeParts.Observe(seconds(age) / seconds(bound));
+    m_knowledgeAgeRatio.Observe(seconds(age) / seconds(bound));
 }
 
-void EdgeMetrics::shares(const dispatch::SharesView& view)
+void EdgeMetrics::recordShares(const dispatch::SharesView& view)
 {
     double granted = 0;
     for (const auto& [id, use] : view.customers)
@@ -112,38 +114,38 @@
         m_sumsAge.Observe(seconds(*view.sumsAge));
 }
 
-void EdgeMetrics::targetEnded(quarantine::EndEvidence evidence)
+void EdgeMetrics::recordTargetEnd(quarantine::EndEvidence evidence)
 {
     m_targetEnds.Add({ { "evidence", std::string(toString(evidence)) } }).Increment();
 }
 
-void EdgeMetrics::request(std::string_view route, int status, Duration lasted)
+void EdgeMetrics::recordRequest(std::string_view route, int status, Duration duration)
 {
     m_requests.Add({ { "route", std::string(route) }, { "status", std::to_string(status) } }).Increment();
-    m_duration.Observe(seconds(lasted));
+    m_duration.Observe(seconds(duration));
 }
 
-void EdgeMetrics::firstEvent(Duration sinceArrival, Duration predictionError)
+void EdgeMetrics::recordFirstEvent(Duration sinceArrival, Duration predictionError)
 {
     m_firstEvent.Observe(seconds(sinceArrival));
     m_predictionError.Observe(std::abs(seconds(predictionError)));
 }
 
-void EdgeMetrics::attempt(dispatch::AttemptEnd end)
+void EdgeMetrics::recordAttempt(dispatch::AttemptEnd end)
 {
     m_attempts.Add({ { "end", std::string(toString(end)) } }).Increment();
 }
 
-void EdgeMetrics::answerEnded(const relay::AnswerEnd& end)
+void EdgeMetrics::recordAnswerEnd(const relay::AnswerEnd& end)
 {
     const bool isClosed = end.transfer == net::TransferEnd::Closed;
     if (isClosed || end.cutBytes)
-        m_answerEnds
+        m_unframedAnswers
             .Add({ { "framing", isClosed ? "connection" : "announced" }, { "cut", end.cutBytes ? "yes" : "no" } })
             .Increment();
 }
 
-void EdgeMetrics::targetSaid(const dispatch::TargetSignals& signals)
+void EdgeMetrics::recordTargetSignals(const dispatch::TargetSignals& signals)
 {
     if (signals.isDraining)
         m_signals.Add({ { "signal", "draining" } }).Increment();
@@ -151,7 +153,7 @@
         m_signals.Add({ { "signal", "backoff" } }).Increment();
 }
 
-void EdgeMetrics::refusal(dispatch::RefusalReason reason)
+void EdgeMetrics::recordRefusal(dispatch::RefusalReason reason)
 {
     m_refusals.Add({ { "reason", std::string(toString(reason)) } }).Increment();
 }
--- a/apps/sagechute-edge/EdgeState.cpp
+++ b/apps/sagechute-edge/EdgeState.cpp
@@ -10,10 +10,10 @@
 {
 }
 
-bool EdgeState::adoptConfig(const news::ConfigRecord& record, dispatch::FleetConfig config)
+bool EdgeState::installConfig(const news::ConfigRecord& record, dispatch::FleetConfig config)
 {
     std::lock_guard lock(m_mutex);
-    // What is in force never goes back, whatever an older record or a router that lags says.
+    // The configuration never goes back to an older version, whatever an old record or a lagging router sends.
     if (m_configRecord && record.version <= m_configRecord->version)
         return false;
     m_configRecord = record;
@@ -30,17 +30,17 @@
     return m_configRecord;
 }
 
-void EdgeState::configKnown(TimePoint until)
+void EdgeState::extendConfigKnowledge(TimePoint until)
 {
     std::lock_guard lock(m_mutex);
-    if (!m_configUntil || *m_configUntil < until)
-        m_configUntil = until;
+    if (!m_configKnownUntil || *m_configKnownUntil < until)
+        m_configKnownUntil = until;
 }
 
 news::Knowledge EdgeState::knowledgeLocked() const
 {
-    // Known, if only that there is no target yet, from the first time on that all of the topic was read.
-    return { m_configVersion.load(), m_configUntil, m_roster.next().value_or(0), m_roster.knownUntil(),
+    // Targets count as known, even as an empty list, once the whole topic has been read.
+    return { m_configVersion.load(), m_configKnownUntil, m_roster.next().value_or(0), m_roster.knownUntil(),
         m_roster.readSince() };
 }
 
@@ -50,33 +50,33 @@
     return knowledgeLocked();
 }
 
-news::ToldKnowledge EdgeState::told() const
+news::ToldKnowledge EdgeState::knowledgeForPeers() const
 {
     const TimePoint readAt = std::min(configReadAt.load(), targetsReadAt.load());
     const std::optional<TimePoint> ownRead = readAt == TimePoint {} ? std::nullopt : std::optional(readAt);
     return news::tell(knowledge(), ownRead, unsuspendedNow());
 }
 
-news::Missing EdgeState::learn(const news::ToldKnowledge& told)
+news::Missing EdgeState::mergePeerKnowledge(const news::ToldKnowledge& told)
 {
     std::lock_guard lock(m_mutex);
     news::Knowledge mine = knowledgeLocked();
     const TimePoint now = unsuspendedNow();
     const news::Missing missing = news::learn(mine, told, now);
-    m_configUntil = mine.configUntil;
+    m_configKnownUntil = mine.configUntil;
     const std::optional<news::ReadSpan> read = news::toldRead(told, now, now);
     if (read && !missing.targets)
         m_roster.known(mine.targetsNext, *read);
     return missing;
 }
 
-dispatch::TargetSignals EdgeState::targetSaid(
+dispatch::TargetSignals EdgeState::applyTargetSignals(
     TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
 {
     dispatch::TargetSignals unknown;
     std::lock_guard lock(m_mutex);
     if (signals.isDraining)
-        changeTargetsLocked(
+        updateTargetsLocked(
             [&](news::TargetRoster& roster) { unknown.isDraining = roster.saidDraining(unsuspendedNow(), target); });
     if (signals.backoff && m_dispatcher->backOff(now, target, *signals.backoff))
         unknown.backoff = signals.backoff;
--- a/apps/sagechute-edge/EdgeState.h
+++ b/apps/sagechute-edge/EdgeState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What all threads of an edge router share.
+/// State shared by all threads of an edge router.
 
 #include <sagechute/Edge.h>
 
@@ -10,37 +10,40 @@
 
 namespace sagechute::edge {
 
-/// The configuration, the targets and the dispatcher. Every member function may be called from any thread.
+/// The configuration, the targets and the dispatcher. Thread-safe.
 ///
-/// The routing table is read without a lock. Everything that decides is under one mutex, held for some microseconds and
-/// never over input or output; at the few hundred requests a second that a VM of a quarter core takes, no one waits.
+/// The routing table is read without a lock. All decisions are made under one mutex, which is held for some
+/// microseconds and never across I/O. There is no contention on it at the few hundred requests a second that a VM with
+/// a quarter of a core handles.
 class EdgeState {
 public:
     EdgeState(const dispatch::DispatchSettings&, const news::NewsTimes&, VmId self, ZoneId zone, std::uint64_t seed);
 
-    const VmId vm; ///< This router's.
+    const VmId vm; ///< Name of this router's VM.
 
     /// @return the newest routing table, or null while no configuration is known.
     std::shared_ptr<const dispatch::RoutingTable> table() const { return m_table.load(); }
 
-    /// Takes a configuration over unless one as new is in force.
-    /// @return whether it was taken.
-    bool adoptConfig(const news::ConfigRecord&, dispatch::FleetConfig);
+    /// Puts a configuration in force unless the current one is as new or newer.
+    /// @return whether it was put in force.
+    bool installConfig(const news::ConfigRecord&, dispatch::FleetConfig);
     std::optional<news::ConfigRecord> configRecord() const;
     std::uint64_t configVersion() const { return m_configVersion.load(); }
 
-    /// All configurations that the store acknowledged before @p until are known. @param until see unsuspendedNow().
-    void configKnown(TimePoint until);
+    /// Records that all configurations acknowledged by the store before @p until are known here.
+    /// @param until on the clock of unsuspendedNow().
+    void extendConfigKnowledge(TimePoint until);
 
-    /// Calls @p change with the list of targets; the dispatcher is told where that changed it.
-    template <typename Change> void changeTargets(Change&& change)
+    /// Calls @p change with the list of targets and passes the list to the dispatcher if it changed.
+    template <typename Change> void updateTargets(Change&& change)
     {
         std::lock_guard lock(m_mutex);
-        changeTargetsLocked(std::forward<Change>(change));
+        updateTargetsLocked(std::forward<Change>(change));
     }
 
-    /// Puts in force what a target said of itself. @return what of it was not known.
-    dispatch::TargetSignals targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&);
+    /// Applies signals that a target sent about itself. @return those that were not known before.
+    dispatch::TargetSignals applyTargetSignals(
+        TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&);
 
     /// Calls @p use with the list of targets.
     template <typename Use> auto withTargets(Use&& use) const
@@ -49,14 +52,14 @@
         return use(m_roster);
     }
 
-    /// @return what is known of the store, and until when; its moments are those of unsuspendedNow().
+    /// @return what is known of the store and up to which time, on the clock of unsuspendedNow().
     news::Knowledge knowledge() const;
 
-    /// @return the same for other routers.
-    news::ToldKnowledge told() const;
+    /// @return knowledge() in the form that is sent to other routers.
+    news::ToldKnowledge knowledgeForPeers() const;
 
-    /// Another router told what it knows. @return what of that is missing here.
-    news::Missing learn(const news::ToldKnowledge&);
+    /// Merges the knowledge that another router sent. @return what that router has and this one lacks.
+    news::Missing mergePeerKnowledge(const news::ToldKnowledge&);
 
     /// Calls @p use with the dispatcher.
     template <typename Use> auto withDispatcher(Use&& use)
@@ -65,25 +68,26 @@
         return use(*m_dispatcher);
     }
 
-    /// @return whether requests can be served now.
+    /// @return whether the router has a configuration and targets and is not stopping.
     bool canServe() const;
 
     std::atomic<bool> isStopping { false };
-    std::atomic<bool> isRefusing { false }; ///< The planned stop has come so far that a new request might be cut off.
-    std::atomic<bool> isKnowledgeLate { false }; ///< What is known of the store is older than the bound.
-    std::atomic<std::uint64_t> requestsTaken { 0 }; ///< See RouterWork, for this and the next two.
-    std::atomic<std::uint64_t> requestsCrowdedOut { 0 };
-    std::atomic<std::uint64_t> piecesRelayed { 0 };
-    std::atomic<bool> isCrowded { false }; ///< So many connections that callers are to close theirs.
+    /// The graceful stop is so far advanced that a new request might be cut off.
+    std::atomic<bool> isRejectingRequests { false };
+    std::atomic<bool> isKnowledgeStale { false }; ///< The knowledge of the store is older than its bound.
+    std::atomic<std::uint64_t> requestsAccepted { 0 }; ///< For RouterWork, like the next two.
+    std::atomic<std::uint64_t> requestsShed { 0 };
+    std::atomic<std::uint64_t> chunksRelayed { 0 };
+    std::atomic<bool> isCrowded { false }; ///< Callers are asked to close their connections; see CrowdMeter.
     std::atomic<std::uint32_t> usePercent { 0 }; ///< See RouterUse.
-    bool wantsClose() const { return isStopping || isCrowded; }
-    /// When the last read of each topic was answered that this router made itself, by unsuspendedNow(); zero: never.
+    bool shouldCloseConnections() const { return isStopping || isCrowded; }
+    /// When this router's own last read of each topic was answered, on the clock of unsuspendedNow(); zero: never.
     std::atomic<TimePoint> configReadAt { TimePoint {} };
     std::atomic<TimePoint> targetsReadAt { TimePoint {} };
     std::atomic<int> activeRequests { 0 };
 
 private:
-    template <typename Change> void changeTargetsLocked(Change&& change)
+    template <typename Change> void updateTargetsLocked(Change&& change)
     {
         const std::uint64_t before = m_roster.revision();
         change(m_roster);
@@ -97,7 +101,7 @@
     std::atomic<std::uint64_t> m_configVersion { 0 };
     mutable std::mutex m_mutex;
     std::optional<news::ConfigRecord> m_configRecord;
-    std::optional<TimePoint> m_configUntil;
+    std::optional<TimePoint> m_configKnownUntil;
     news::TargetRoster m_roster;
     std::unique_ptr<dispatch::Dispatcher> m_dispatcher;
 };
--- a/apps/sagechute-edge/Fleet.cpp
+++ b/apps/sagechute-edge/Fleet.cpp
@@ -11,32 +11,33 @@
     constexpr char gossipTag = 'G';
     constexpr char heartbeatTag = 'H';
 
-    /// While requests are in flight others decide by this router's reports. In 60 ms the whole fleet of today places
-    /// some eight requests on 12 engines.
-    constexpr Duration busyInterval = std::chrono::milliseconds(60);
+    /// While requests are in flight, other routers schedule by this router's reports. In 60 ms a whole fleet with 12
+    /// engines places about eight requests.
+    constexpr Duration directReportInterval = std::chrono::milliseconds(60);
 
-    /// In a large fleet, where a report passes up to two relays and costs them one message for each router: some 5 % of
-    /// a core at 20 routers a zone. With 80 ms instead of 150 a fifth of the late answers is on time (a heavy day of 64
-    /// routers: 3,658 late of 63,574 after, 4,713 before).
-    constexpr Duration relayedInterval = std::chrono::milliseconds(80);
+    /// Used in a large fleet, where a report passes up to two relays and costs each one message per router: about 5 %
+    /// of a core at 20 routers per zone. Compared with 150 ms, 80 ms saves a fifth of the late answers (64 routers
+    /// under heavy load: 3,658 instead of 4,713 late of 63,574).
+    constexpr Duration relayedReportInterval = std::chrono::milliseconds(80);
 
-    /// With a relay of fewer cores the same would take a large part of them.
-    constexpr Duration weakRelayInterval = std::chrono::milliseconds(150);
-    constexpr std::uint32_t strongRelay = 400; ///< Thousandths of a core.
+    /// Used with a relay of less than fastRelayCapacity, where the shorter interval would use a large part of its CPU.
+    constexpr Duration slowRelayReportInterval = std::chrono::milliseconds(150);
+    constexpr std::uint32_t fastRelayCapacity = 400; ///< Thousandths of a core.
 
-    /// Under this name the dispatcher keeps what a relay told of all others.
-    const VmId sumOfOthers { "others" };
+    /// Name under which the dispatcher stores a relay's aggregate report on all other routers.
+    const VmId aggregateSource { "others" };
 
-    /// Four heartbeats within heartbeatKept, so that three lost datagrams don't take a router out of the answers.
+    /// Four heartbeats within heartbeatKept, so that a router stays in lookup answers when three datagrams in a row are
+    /// lost.
     constexpr Duration idleInterval = heartbeatKept / 4;
 
-    /// The lower bits of an incarnation are drawn, so that two lives that start in the same millisecond by a clock that
-    /// was set back differ.
-    constexpr unsigned drawnBits = 16;
-    constexpr Incarnation drawnMask = (1U << drawnBits) - 1;
+    /// The lower bits of an incarnation are random, so that two incarnations differ even if a clock that was set back
+    /// gives them the same millisecond.
+    constexpr unsigned randomBits = 16;
+    constexpr Incarnation randomMask = (1U << randomBits) - 1;
 
-    /// Names in one line; at a fleet's start hundreds come within a second.
-    constexpr std::size_t mostNamedChanges = 5;
+    /// Limit on the names in one log line; when a fleet starts, hundreds of routers join within a second.
+    constexpr std::size_t maxListedChanges = 5;
 
     const char* toString(membership::MemberState state)
     {
@@ -44,7 +45,7 @@
         return names.at(static_cast<std::size_t>(state));
     }
 
-    /// @return the routers whose state differs, the first of them by name: "VM:STATE,... +N".
+    /// @return the routers whose state has changed, as "VM:STATE,... +N"; N is the number of those not listed.
     std::string describeChanges(
         const std::map<VmId, membership::MemberState>& before, const std::map<VmId, membership::MemberState>& after)
     {
@@ -54,25 +55,26 @@
             const auto it = before.find(vm);
             if (it != before.end() && it->second == state)
                 continue;
-            if (++changes <= mostNamedChanges)
+            if (++changes <= maxListedChanges)
                 text += (text.empty() ? "" : ",") + vm.value + ":" + toString(state);
         }
-        if (changes > mostNamedChanges)
-            text += " +" + std::to_string(changes - mostNamedChanges);
+        if (changes > maxListedChanges)
+            text += " +" + std::to_string(changes - maxListedChanges);
         return text;
     }
 
-    /// First step by which a life passes a former one with a larger number; doubled each time. A minute.
-    constexpr Incarnation firstStep = Incarnation { 60'000 } << drawnBits;
+    /// One minute. First increment by which an incarnation overtakes a former one with a larger number; doubled on each
+    /// further attempt.
+    constexpr Incarnation initialIncarnationStep = Incarnation { 60'000 } << randomBits;
 
 } // namespace
 
-Incarnation drawIncarnation()
+Incarnation generateIncarnation()
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const auto ms = static_cast<Incarnation>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
     std::random_device device;
-    return ms << drawnBits | (device() & drawnMask);
+    return ms << randomBits | (device() & randomMask);
 }
 
 absl::StatusOr<std::unique_ptr<Fleet>> Fleet::make(
@@ -93,8 +95,8 @@
     : m_state(state)
     , m_inbox(inbox)
     , m_options(options)
-    , m_gossipAddress(options.at(options.gossipPort()))
-    , m_step(firstStep)
+    , m_gossipAddress(options.endpointFor(options.gossipPort()))
+    , m_incarnationStep(initialIncarnationStep)
 {
 }
 
@@ -116,18 +118,20 @@
 {
     std::lock_guard lock(m_mutex);
     if (m_gossip->isSuperseded()) {
-        // The clock may have been set back since this VM's former life. Only one process can hold the socket, so that
-        // this one is the newer whatever the numbers say: it passes the former with a larger one.
-        startGossip(m_incarnation + m_step);
-        m_step *= 2;
+        // The clock may have been set back since this VM's former incarnation. Only one process can hold the socket, so
+        // this one is the newer whatever the numbers say; it takes a larger number than the former one.
+        startGossip(m_incarnation + m_incarnationStep);
+        m_incarnationStep *= 2;
         process::log(process::LogLevel::Warning, "incarnation-passed",
-            { { "incarnation", std::to_string(m_incarnation) }, { "reason", "a former life had a larger number" } });
+            { { "incarnation", std::to_string(m_incarnation) },
+                { "reason",
+                    "a former incarnation of this VM had a larger number; its clock may have been set back" } });
     }
     m_gossip->updateSelf(m_state.isStopping, m_state.configVersion(), true,
         static_cast<std::uint32_t>(std::max(0, m_state.activeRequests.load())));
     sendGossip(m_gossip->tick(now));
     sendHeartbeats(now);
-    logChanges();
+    logMembershipChanges();
 }
 
 void Fleet::sendGossip(const std::vector<membership::Datagram>& datagrams)
@@ -141,81 +145,81 @@
     if (now < m_nextHeartbeat)
         return;
     const bool isBusy = m_state.activeRequests > 0;
-    // The first report after the last request says that nothing is in flight any more.
-    if (!isBusy && !m_hadLoad && now - m_lastHeartbeat < idleInterval)
+    // One report is sent after the last request has ended, so that the others see that nothing is in flight.
+    if (!isBusy && !m_hadActiveRequests && now - m_lastHeartbeat < idleInterval)
         return;
-    m_hadLoad = isBusy;
+    m_hadActiveRequests = isBusy;
     m_lastHeartbeat = now;
     m_nextHeartbeat = now + reportInterval();
-    sendOwn(now);
+    sendOwnReport(now);
 }
 
 Duration Fleet::reportInterval() const
 {
     if (m_plan.isDirect)
-        return busyInterval;
+        return directReportInterval;
     const std::uint32_t capacity = m_plan.relay ? m_plan.relay->capacity : m_options.capacity();
-    return capacity >= strongRelay ? relayedInterval : weakRelayInterval;
+    return capacity >= fastRelayCapacity ? relayedReportInterval : slowRelayReportInterval;
 }
 
-Heartbeat Fleet::heartbeat(HeartbeatScope scope) const
+Heartbeat Fleet::makeHeartbeat(HeartbeatScope scope) const
 {
     return { { { m_options.vm }, m_incarnation, m_options.callersListen, m_options.controlListen, { m_options.zone },
-                 m_state.canServe(), m_state.told(), m_options.capacity(), m_state.usePercent, scope },
+                 m_state.canServe(), m_state.knowledgeForPeers(), m_options.capacity(), m_state.usePercent, scope },
         {}, {}, {}, 0 };
 }
 
-std::string Fleet::report(HeartbeatScope scope, FleetUse use, const dispatch::LoadReport& load) const
+std::string Fleet::encodeReport(HeartbeatScope scope, FleetUse use, const dispatch::LoadReport& load) const
 {
-    Heartbeat message = heartbeat(scope);
+    Heartbeat message = makeHeartbeat(scope);
     message.use = std::move(use);
     message.load = encode(load);
     message.sentAt = unsuspendedNow();
     return encodeShared(message);
 }
 
-void Fleet::send(const RouterAddress& to, std::uint64_t includedSerial, std::string_view shared)
+void Fleet::sendHeartbeat(const RouterAddress& to, std::uint64_t includedSerial, std::string_view shared)
 {
     m_socket->send(to.gossipAddress, heartbeatTag + addressed(includedSerial, shared));
 }
 
-void Fleet::sendOwn(TimePoint now)
+void Fleet::sendOwnReport(TimePoint now)
 {
     const dispatch::LoadReport own = m_state.withDispatcher([&](dispatch::Dispatcher& it) { return it.report(now); });
     if (m_plan.isRelay) {
-        sendSums(now, own);
+        sendAggregateReports(now, own);
         return;
     }
     m_ownReports.sent(own);
-    const std::string shared = report(HeartbeatScope::Router, {}, own);
+    const std::string shared = encodeReport(HeartbeatScope::Router, {}, own);
     if (m_plan.relay) {
-        send(*m_plan.relay, 0, shared);
+        sendHeartbeat(*m_plan.relay, 0, shared);
         return;
     }
     for (const RouterAddress& it : m_plan.others)
-        send(it, 0, shared);
+        sendHeartbeat(it, 0, shared);
 }
 
-void Fleet::sendSums(TimePoint now, const dispatch::LoadReport& own)
+void Fleet::sendAggregateReports(TimePoint now, const dispatch::LoadReport& own)
 {
-    m_desk.memberReported(now, { m_options.vm }, own);
-    const dispatch::LoadReport zone = m_desk.zoneSum(now);
-    const std::string toRelays = report(HeartbeatScope::Zone, ownZoneUse(now), zone);
+    m_relayReports.memberReported(now, { m_options.vm }, own);
+    const dispatch::LoadReport zone = m_relayReports.zoneSum(now);
+    const std::string toRelays = encodeReport(HeartbeatScope::Zone, localZoneUse(now), zone);
     for (const RouterAddress& it : m_plan.relays)
-        send(it, 0, toRelays);
-    dispatch::LoadReport all = m_desk.sum(now, zone);
-    const std::string toMembers = report(HeartbeatScope::All, fleetUse(now), all);
+        sendHeartbeat(it, 0, toRelays);
+    dispatch::LoadReport all = m_relayReports.sum(now, zone);
+    const std::string toMembers = encodeReport(HeartbeatScope::All, fleetUse(now), all);
     for (const RouterAddress& it : m_plan.others)
-        send(it, m_desk.includedSerial(now, it.vm), toMembers);
+        sendHeartbeat(it, m_relayReports.includedSerial(now, it.vm), toMembers);
     subtract(all, own);
-    m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, sumOfOthers, all); });
-    m_desk.passedOn();
+    m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, aggregateSource, all); });
+    m_relayReports.passedOn();
     logLateReports(now);
 }
 
 void Fleet::logLateReports(TimePoint now)
 {
-    std::set<std::string> late = m_desk.late(now);
+    std::set<std::string> late = m_relayReports.late(now);
     if (late == m_lateReports)
         return;
     std::map<std::string, bool> changed;
@@ -230,7 +234,7 @@
     std::string text;
     std::size_t named = 0;
     for (const auto& [name, isLate] : changed) {
-        if (named++ < mostNamedChanges)
+        if (named++ < maxListedChanges)
             text += (text.empty() ? "" : ",") + name + (isLate ? ":late" : ":in-time");
     }
     m_lateReports = std::move(late);
@@ -238,11 +242,11 @@
         { { "count", std::to_string(m_lateReports.size()) }, { "changed", text } });
 }
 
-FleetUse Fleet::ownZoneUse(TimePoint now) const
+FleetUse Fleet::localZoneUse(TimePoint now) const
 {
     std::vector<RouterUse> routers { { { m_options.vm }, { m_options.zone }, m_options.capacity(),
         m_state.usePercent } };
-    for (const Peer& it : m_board.alive(now, heartbeatKept)) {
+    for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept)) {
         if (m_plan.isDirect || it.zone.value == m_options.zone)
             routers.push_back({ it.vm, it.zone, it.capacity, it.usePercent });
     }
@@ -252,12 +256,12 @@
 FleetUse Fleet::fleetUse(TimePoint now) const
 {
     if (!m_plan.isDirect && !m_plan.isRelay) {
-        const std::optional<Peer> relay = m_plan.relay ? m_board.find(now, m_plan.relay->vm) : std::nullopt;
+        const std::optional<Peer> relay = m_plan.relay ? m_peerHeartbeats.find(now, m_plan.relay->vm) : std::nullopt;
         return relay ? relay->use : FleetUse {};
     }
-    FleetUse use = ownZoneUse(now);
+    FleetUse use = localZoneUse(now);
     for (const RouterAddress& it : m_plan.relays) {
-        if (const std::optional<Peer> relay = m_board.find(now, it.vm))
+        if (const std::optional<Peer> relay = m_peerHeartbeats.find(now, it.vm))
             add(use, relay->use);
     }
     return use;
@@ -298,46 +302,47 @@
     absl::StatusOr<dispatch::LoadReport> load = dispatch::decodeLoadReport(heartbeat->load);
     std::lock_guard lock(m_mutex);
     heartbeat->knowledge = news::delayed(heartbeat->knowledge, transitDelay(*heartbeat));
-    if (m_state.learn(heartbeat->knowledge).any())
-        m_inbox.heard({ heartbeat->vm, heartbeat->controlAddress });
-    m_board.heard(now, *heartbeat);
+    if (m_state.mergePeerKnowledge(heartbeat->knowledge).any())
+        m_inbox.addSource({ heartbeat->vm, heartbeat->controlAddress });
+    m_peerHeartbeats.heard(now, *heartbeat);
     if (!load.ok())
         return;
     if (m_plan.isRelay) {
-        // A relay passes on what it has learned, a part with each report; a sum of all parts has no bound.
+        // A relay merges crash records into its own state, which it sends out a part at a time. Adding the records of
+        // all reports to its sums would make these unbounded.
         m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.crashes().learn(now, load->crashes); });
         load->crashes.clear();
     }
     if (heartbeat->scope == HeartbeatScope::Zone) {
-        m_desk.zoneReported(now, heartbeat->zone, std::move(*load));
+        m_relayReports.zoneReported(now, heartbeat->zone, std::move(*load));
         return;
     }
     if (m_plan.isRelay && heartbeat->scope == HeartbeatScope::Router) {
-        m_desk.memberReported(now, heartbeat->vm, std::move(*load));
+        m_relayReports.memberReported(now, heartbeat->vm, std::move(*load));
         return;
     }
     const bool isSum = heartbeat->scope == HeartbeatScope::All;
-    // A sum with a report of this router that it no longer remembers would count its requests twice.
+    // Drops a sum that contains an own report too old to be subtracted: this router's requests would count twice.
     if (isSum && !m_ownReports.takeOff(*load, heartbeat->includedSerial))
         return;
-    const VmId source = isSum ? sumOfOthers : heartbeat->vm;
+    const VmId source = isSum ? aggregateSource : heartbeat->vm;
     m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, source, *load); });
 }
 
 Duration Fleet::transitDelay(const Heartbeat& heartbeat)
 {
-    Transit& transit = m_transit[heartbeat.vm];
+    Transit& transit = m_transitByRouter[heartbeat.vm];
     if (transit.incarnation != heartbeat.incarnation)
         transit = { heartbeat.incarnation, {} };
     return transit.meter.delay(heartbeat.sentAt, unsuspendedNow());
 }
 
-void Fleet::logChanges()
+void Fleet::logMembershipChanges()
 {
     const membership::MembershipView& view = m_gossip->view();
-    if (view.version == m_loggedView)
+    if (view.version == m_loggedViewVersion)
         return;
-    m_loggedView = view.version;
+    m_loggedViewVersion = view.version;
     updatePlan();
     unsigned known = 0;
     std::size_t alive = 0;
@@ -353,8 +358,8 @@
         states.emplace(vm, it.state);
     }
     m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.setRouterCount(known); });
-    const std::string changed = describeChanges(m_loggedStates, states);
-    m_loggedStates = std::move(states);
+    const std::string changed = describeChanges(m_loggedMemberStates, states);
+    m_loggedMemberStates = std::move(states);
     process::log(process::LogLevel::Info, "members",
         { { "version", std::to_string(view.version) }, { "alive", std::to_string(alive) },
             { "digest", std::to_string(digest) }, { "changed", changed },
@@ -375,7 +380,7 @@
 std::vector<Peer> Fleet::peers(TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_board.alive(now, heartbeatKept);
+    return m_peerHeartbeats.alive(now, heartbeatKept);
 }
 
 std::vector<RouterContact> Fleet::contacts(TimePoint now) const
@@ -383,7 +388,7 @@
     std::lock_guard lock(m_mutex);
     std::vector<RouterContact> found;
     if (m_plan.isDirect) {
-        for (const Peer& it : m_board.alive(now, heartbeatKept))
+        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept))
             found.push_back({ it.vm, it.controlAddress });
         return found;
     }
@@ -394,13 +399,13 @@
     return found;
 }
 
-bool Fleet::knowsOthers() const
+bool Fleet::knowsOtherRouters() const
 {
     std::lock_guard lock(m_mutex);
     return m_gossip->view().aliveCount() > 1;
 }
 
-bool Fleet::isLandmark() const
+bool Fleet::shouldAnnounce() const
 {
     std::lock_guard lock(m_mutex);
     return m_plan.isDirect || m_plan.isRelay;
@@ -411,7 +416,7 @@
     const TimePoint now = steadyNow();
     std::lock_guard lock(m_mutex);
     if (m_plan.relay) {
-        // Relays read for the fleet; a router that hears nothing of them in time reads for itself.
+        // Relays read the store for the fleet; a router that does not hear from them in time reads it itself.
         return { false, static_cast<unsigned>(m_plan.relays.size()) + 1 };
     }
     std::vector<news::ReaderPeer> others;
@@ -423,11 +428,11 @@
     };
     if (m_plan.isRelay) {
         for (const RouterAddress& it : m_plan.relays) {
-            if (const std::optional<Peer> relay = m_board.find(now, it.vm))
+            if (const std::optional<Peer> relay = m_peerHeartbeats.find(now, it.vm))
                 add(*relay);
         }
     } else {
-        for (const Peer& it : m_board.alive(now, heartbeatKept))
+        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept))
             add(it);
     }
     return news::standing({ m_options.vm }, m_options.capacity(), others, times);
@@ -440,13 +445,14 @@
         ready.push_back({ m_options.callersListen, { m_options.zone }, m_options.capacity(), m_state.usePercent });
     std::lock_guard lock(m_mutex);
     if (m_plan.isDirect) {
-        for (const Peer& it : m_board.alive(now, heartbeatKept)) {
+        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept)) {
             if (it.isReady)
                 ready.push_back({ it.callerAddress, it.zone, it.capacity, it.usePercent });
         }
         return chooseEntryPoints(ready, callerZone, callerKey);
     }
-    // Not all send heartbeats here. Gossip knows who lives, somewhat later, and who has a configuration.
+    // In a large fleet not every router sends its heartbeats here. Gossip, with some delay, has the live routers and
+    // whether they have a configuration.
     const FleetUse use = fleetUse(now);
     const auto usePercent = [&](const membership::MemberSummary& it) {
         const auto own = use.crowded.find(it.life.vm);
--- a/apps/sagechute-edge/Fleet.h
+++ b/apps/sagechute-edge/Fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The other routers: gossip says who is there, heartbeats what they have in flight.
+/// The other routers: gossip carries membership, heartbeats carry load.
 
 #include "EdgeState.h"
 #include "Options.h"
@@ -11,45 +11,47 @@
 
 namespace sagechute::edge {
 
-/// @return a number for this life of the process that no other has: the time of day, which may have been set back, and
-///         bits that are drawn.
-Incarnation drawIncarnation();
+/// @return a unique number for this run of the process: the time of day, followed by random bits because the clock may
+///         have been set back.
+Incarnation generateIncarnation();
 
-/// One UDP socket for gossip and heartbeats. Its receiving thread and the housekeeping thread use it.
+/// Exchanges gossip and heartbeats with the other routers over one UDP socket. Used by the socket's receiving thread
+/// and the housekeeping thread.
 class Fleet {
 public:
-    /// @param incarnation see drawIncarnation(). The box is told of routers that know more of the store.
+    /// Routers whose heartbeats show newer knowledge of the store are added to the inbox.
+    /// @param incarnation see generateIncarnation().
     static absl::StatusOr<std::unique_ptr<Fleet>> make(EdgeState&, PeerInbox&, const Options&, Incarnation incarnation);
 
-    /// Sends what has come due. Call it about every 25 ms.
+    /// Sends gossip and heartbeats that are due. Call it about every 25 ms.
     void tick(TimePoint now);
 
     void addSeed(const std::string& gossipAddress);
     std::string gossipAddress() const { return m_gossipAddress; }
 
-    /// @return routers that are heard of, without this one.
+    /// @return the other routers whose heartbeats arrive here.
     std::vector<Peer> peers(TimePoint now) const;
 
-    /// @return routers that can be asked for what they know: those heard of, in a large fleet all that gossip knows to
-    ///         be there.
+    /// @return routers whose state can be fetched: those whose heartbeats arrive here, or in a large fleet all that
+    ///         gossip reports alive.
     std::vector<RouterContact> contacts(TimePoint now) const;
 
-    /// @return whether any other router is known to gossip.
-    bool knowsOthers() const;
+    /// @return whether gossip has any other live router.
+    bool knowsOtherRouters() const;
 
-    /// @return whether the store is to tell others of this router: in a large fleet only of relays.
-    bool isLandmark() const;
+    /// @return whether this router should announce itself in the store; in a large fleet only relays do.
+    bool shouldAnnounce() const;
 
     /// @return whether this router reads the store for others.
     news::ReadStanding readStanding(const news::NewsTimes&) const;
 
-    /// @return addresses for a caller, this router's among them when it can serve; see chooseEntryPoints().
+    /// @return router addresses for a caller; this router is a candidate if it can serve. See chooseEntryPoints().
     std::vector<std::string> entryPoints(TimePoint now, const ZoneId& callerZone, std::string_view callerKey) const;
 
-    /// @return mean use of the routers' cores over the availability zones, in per cent.
+    /// @return CPU utilization of the routers in per cent, as the mean over the availability zones.
     std::uint32_t meanUsePercent(TimePoint now) const;
 
-    /// Says goodbye at the end of a planned stop.
+    /// Announces the departure by gossip at the end of a graceful stop.
     void leave();
 
 private:
@@ -60,21 +62,21 @@
     void receiveHeartbeat(std::string_view bytes);
     Duration transitDelay(const Heartbeat&);
     Duration reportInterval() const;
-    Heartbeat heartbeat(HeartbeatScope) const;
+    Heartbeat makeHeartbeat(HeartbeatScope) const;
 
-    /// @return a heartbeat with a load, for any number of receivers.
-    std::string report(HeartbeatScope, FleetUse, const dispatch::LoadReport&) const;
-    void send(const RouterAddress&, std::uint64_t includedSerial, std::string_view shared);
-    void sendOwn(TimePoint now);
-    void sendSums(TimePoint now, const dispatch::LoadReport& own);
-    FleetUse ownZoneUse(TimePoint now) const;
+    /// @return an encoded heartbeat with a load report, to be sent to any number of receivers.
+    std::string encodeReport(HeartbeatScope, FleetUse, const dispatch::LoadReport&) const;
+    void sendHeartbeat(const RouterAddress&, std::uint64_t includedSerial, std::string_view shared);
+    void sendOwnReport(TimePoint now);
+    void sendAggregateReports(TimePoint now, const dispatch::LoadReport& own);
+    FleetUse localZoneUse(TimePoint now) const;
 
-    /// @return how much of their cores routers need, as far as it is known here.
+    /// @return CPU utilization of the routers, as far as it is known here.
     FleetUse fleetUse(TimePoint now) const;
     void updatePlan();
     void sendGossip(const std::vector<membership::Datagram>&);
     void sendHeartbeats(TimePoint now);
-    void logChanges();
+    void logMembershipChanges();
     void logLateReports(TimePoint now);
 
     EdgeState& m_state;
@@ -83,26 +85,26 @@
     const std::string m_gossipAddress;
     mutable std::mutex m_mutex;
     Incarnation m_incarnation = 0;
-    Incarnation m_step;
+    Incarnation m_incarnationStep;
     std::unique_ptr<membership::Gossip> m_gossip;
-    PeerBoard m_board;
+    PeerBoard m_peerHeartbeats;
 
-    /// How long heartbeats of one life of a router take.
+    /// Transit times of the heartbeats of one incarnation of a router.
     struct Transit {
         Incarnation incarnation = 0;
         news::TransitMeter meter;
     };
-    std::map<VmId, Transit> m_transit;
+    std::map<VmId, Transit> m_transitByRouter;
     ReportPlan m_plan;
-    RelayDesk m_desk;
-    std::set<std::string> m_lateReports; ///< See RelayDesk::late(); as logged.
+    RelayDesk m_relayReports;
+    std::set<std::string> m_lateReports; ///< As last logged; see RelayDesk::late().
     OwnReports m_ownReports;
-    std::uint64_t m_loggedView = 0;
-    std::map<VmId, membership::MemberState> m_loggedStates;
+    std::uint64_t m_loggedViewVersion = 0;
+    std::map<VmId, membership::MemberState> m_loggedMemberStates;
     TimePoint m_nextHeartbeat {};
     TimePoint m_lastHeartbeat {};
-    bool m_hadLoad = false;
-    std::unique_ptr<peer::DatagramSocket> m_socket; ///< Last: its thread uses the rest.
+    bool m_hadActiveRequests = false;
+    std::unique_ptr<peer::DatagramSocket> m_socket; ///< Declared last, as its thread uses the other members.
 };
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/Housekeeping.cpp
+++ b/apps/sagechute-edge/Housekeeping.cpp
@@ -10,17 +10,18 @@
 
 namespace {
 
-    /// Gossip wants a call each 50 ms, and time limits are kept to within it.
+    /// Gossip needs a tick every 50 ms; this is also the resolution of the timers.
     constexpr Duration tickInterval = std::chrono::milliseconds(25);
 
-    /// How often the settings file is compared, which may change without a signal, and shares are looked at.
-    constexpr Duration settingsInterval = std::chrono::seconds(1);
+    /// Interval at which the settings file, which may change without a signal, is compared and customers' shares are
+    /// recorded.
+    constexpr Duration settingsCheckInterval = std::chrono::seconds(1);
 
-    /// Some steps within the second over which a router learns what its work costs.
-    constexpr Duration crowdInterval = std::chrono::milliseconds(100);
+    /// Gives several samples within the second over which a router measures the cost of its work.
+    constexpr Duration overloadCheckInterval = std::chrono::milliseconds(100);
 
-    /// No request for so long: callers have taken up other addresses.
-    constexpr Duration quietTime = std::chrono::milliseconds(700);
+    /// After this time without requests, callers have switched to other addresses.
+    constexpr Duration idleTimeBeforeStop = std::chrono::milliseconds(700);
 
     std::string readFile(const char* path)
     {
@@ -32,7 +33,7 @@
 
 } // namespace
 
-std::optional<int> SettingsWatch::read(Options& options)
+std::optional<int> SettingsWatcher::read(Options& options)
 {
     process::Settings settings("sagechute-edge", "takes callers' requests on the users' platform");
     options.declare(settings);
@@ -42,45 +43,45 @@
     return settings.read(m_argc, m_argv);
 }
 
-bool SettingsWatch::hasChanged()
+bool SettingsWatcher::hasChanged()
 {
     const char* path = std::getenv(platform::settingsFileVariable);
     return path && readFile(path) != m_content;
 }
 
-Housekeeping::Housekeeping(EdgeState& state, Fleet& fleet, Listeners& listeners, ShareWatch& shareWatch,
-    CrashWatch& crashWatch, DueTimers& timers, SettingsWatch& watch)
+Housekeeping::Housekeeping(EdgeState& state, Fleet& fleet, Listeners& listeners, ShareMonitor& shareMonitor,
+    CrashMonitor& crashMonitor, TimerQueue& timers, SettingsWatcher& settingsWatcher)
     : m_state(state)
     , m_fleet(fleet)
     , m_listeners(listeners)
-    , m_shareWatch(shareWatch)
-    , m_crashWatch(crashWatch)
+    , m_shareMonitor(shareMonitor)
+    , m_crashMonitor(crashMonitor)
     , m_timers(timers)
-    , m_watch(watch)
+    , m_settingsWatcher(settingsWatcher)
 {
 }
 
 void Housekeeping::run(process::StopSignal& stop)
 {
-    TimePoint nextCheck = steadyNow() + settingsInterval;
-    TimePoint nextLook {};
+    TimePoint nextSettingsCheck = steadyNow() + settingsCheckInterval;
+    TimePoint nextOverloadCheck {};
     while (!stop.wait(tickInterval)) {
         const TimePoint now = steadyNow();
-        m_timers.run(now);
-        m_crashWatch.tick(now);
+        m_timers.runDue(now);
+        m_crashMonitor.tick(now);
         m_fleet.tick(now);
-        if (now >= nextLook) {
-            m_listeners.followLimits();
-            nextLook = now + crowdInterval;
+        if (now >= nextOverloadCheck) {
+            m_listeners.updateLimits();
+            nextOverloadCheck = now + overloadCheckInterval;
         }
-        const bool isAsked = stop.takeReload();
-        if (!isAsked && now < nextCheck)
+        const bool isReloadRequested = stop.takeReload();
+        if (!isReloadRequested && now < nextSettingsCheck)
             continue;
-        nextCheck = now + settingsInterval;
-        m_shareWatch.look(now);
-        if (isAsked)
+        nextSettingsCheck = now + settingsCheckInterval;
+        m_shareMonitor.update(now);
+        if (isReloadRequested)
             process::log(process::LogLevel::Info, "reload-asked", { { "by", "SIGHUP" } });
-        if (m_watch.hasChanged())
+        if (m_settingsWatcher.hasChanged())
             reload();
     }
 }
@@ -88,19 +89,20 @@
 void Housekeeping::reload()
 {
     Options options;
-    if (m_watch.read(options)) {
+    if (m_settingsWatcher.read(options)) {
         process::log(process::LogLevel::Error, "settings-refused",
-            { { "remedy", "see the message on stderr; the former settings stay in force" } });
+            { { "remedy", "see the message on standard error; the previous settings stay in force" } });
         return;
     }
-    // Addresses and bounds are those of this life; what may change while it runs is where others are found.
+    // Only the seeds can change at run time; addresses and bounds are fixed until the next start.
     for (const std::string& it : options.gossipSeeds())
         m_fleet.addSeed(it);
     process::log(process::LogLevel::Info, "settings-reloaded",
-        { { "seeds", std::to_string(options.seeds.size()) }, { "note", "other settings are read at the next start" } });
+        { { "seeds", std::to_string(options.seeds.size()) },
+            { "note", "other changed settings take effect at the next start" } });
 }
 
-void planStop(EdgeState& state, Fleet& fleet, Listeners& listeners, CrashWatch& crashWatch, DueTimers& timers,
+void drainAndStop(EdgeState& state, Fleet& fleet, Listeners& listeners, CrashMonitor& crashMonitor, TimerQueue& timers,
     const Options& options)
 {
     const TimePoint begin = steadyNow();
@@ -109,21 +111,21 @@
     process::log(process::LogLevel::Info, "stopping",
         { { "active", std::to_string(state.activeRequests.load()) },
             { "grace-seconds", std::to_string(options.stopGraceSeconds) } });
-    bool isTaking = true;
-    TimePoint quietSince = begin;
+    bool isAccepting = true;
+    TimePoint idleSince = begin;
     for (;;) {
         const TimePoint now = steadyNow();
-        timers.run(now);
-        crashWatch.tick(now);
+        timers.runDue(now);
+        crashMonitor.tick(now);
         fleet.tick(now);
         if (state.activeRequests > 0)
-            quietSince = now;
-        if (isTaking && now - begin >= times.stopTaking) {
-            state.isRefusing = true;
-            listeners.stopTakingCallers();
-            isTaking = false;
+            idleSince = now;
+        if (isAccepting && now - begin >= times.stopTaking) {
+            state.isRejectingRequests = true;
+            listeners.stopListeningForCallers();
+            isAccepting = false;
         }
-        const bool isDone = !isTaking && now - quietSince >= quietTime;
+        const bool isDone = !isAccepting && now - idleSince >= idleTimeBeforeStop;
         if (isDone || now - begin >= times.end)
             break;
         std::this_thread::sleep_for(tickInterval);
--- a/apps/sagechute-edge/Housekeeping.h
+++ b/apps/sagechute-edge/Housekeeping.h
@@ -1,26 +1,26 @@
 #pragma once
 
-#include "CrashWatch.h"
-#include "DueTimers.h"
+#include "CrashMonitor.h"
 #include "Fleet.h"
 #include "Listeners.h"
-#include "ShareWatch.h"
+#include "ShareMonitor.h"
+#include "TimerQueue.h"
 
 namespace sagechute::edge {
 
-/// Reads the settings, and notices when their file changes, with or without a signal.
-class SettingsWatch {
+/// Reads the settings and detects changes of the settings file, with or without a signal.
+class SettingsWatcher {
 public:
-    SettingsWatch(int argc, const char* const* argv)
+    SettingsWatcher(int argc, const char* const* argv)
         : m_argc(argc)
         , m_argv(argv)
     {
     }
 
-    /// @return an exit code when the process should end; see process::Settings::read().
+    /// @return an exit code if the process should exit; see process::Settings::read().
     std::optional<int> read(Options&);
 
-    /// @return whether the file has changed since it was read last.
+    /// @return whether the file has changed since it was last read.
     bool hasChanged();
 
 private:
@@ -29,10 +29,11 @@
     std::string m_content;
 };
 
-/// The thread that does what comes due, until the process is asked to stop.
+/// Runs periodic work on the calling thread until the process is asked to stop: timers, gossip and heartbeats, overload
+/// control, and the reload of settings.
 class Housekeeping {
 public:
-    Housekeeping(EdgeState&, Fleet&, Listeners&, ShareWatch&, CrashWatch&, DueTimers&, SettingsWatch&);
+    Housekeeping(EdgeState&, Fleet&, Listeners&, ShareMonitor&, CrashMonitor&, TimerQueue&, SettingsWatcher&);
     void run(process::StopSignal&);
 
 private:
@@ -41,14 +42,14 @@
     EdgeState& m_state;
     Fleet& m_fleet;
     Listeners& m_listeners;
-    ShareWatch& m_shareWatch;
-    CrashWatch& m_crashWatch;
-    DueTimers& m_timers;
-    SettingsWatch& m_watch;
+    ShareMonitor& m_shareMonitor;
+    CrashMonitor& m_crashMonitor;
+    TimerQueue& m_timers;
+    SettingsWatcher& m_settingsWatcher;
 };
 
-/// Carries out the planned stop: out of the answers to callers at once, new connections for a while, requests in
-/// flight to their end.
-void planStop(EdgeState&, Fleet&, Listeners&, CrashWatch&, DueTimers&, const Options&);
+/// Stops gracefully: the router disappears from lookup answers at once, accepts requests for a while longer, and lets
+/// requests in flight complete.
+void drainAndStop(EdgeState&, Fleet&, Listeners&, CrashMonitor&, TimerQueue&, const Options&);
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/Listeners.cpp
+++ b/apps/sagechute-edge/Listeners.cpp
@@ -18,35 +18,37 @@
 
     constexpr std::string_view quarantinePath = "/v1/quarantine";
 
-    /// Callers' idle connections stay open for longer than callers use them again: the deployments' limit is 15 s, and
-    /// a request that crosses a close is a failure.
-    constexpr std::chrono::seconds callerIdle { 75 };
-    constexpr std::chrono::seconds otherIdle { 30 };
+    /// Callers' idle connections stay open for longer than callers reuse them, 15 s in the deployments: a request that
+    /// is sent while the router closes its connection fails.
+    constexpr std::chrono::seconds callerIdleTimeout { 75 };
+    constexpr std::chrono::seconds internalIdleTimeout { 30 };
 
-    /// Most answers of "which address" are kept for so long; a router that dies stays in them.
-    constexpr std::chrono::seconds locateKept { 2 };
+    /// Limit on how long callers may cache a lookup of router addresses: a router that has died stays in cached
+    /// answers.
+    constexpr std::chrono::seconds maxLocateCacheTime { 2 };
 
-    constexpr std::size_t mostCallerBody = 8 << 20;
-    constexpr std::size_t mostOtherBody = 64 << 10;
+    constexpr std::size_t maxCallerBodyBytes = 8 << 20;
+    constexpr std::size_t maxInternalBodyBytes = 64 << 10;
 
-    /// Callers' idle connections stay open for a little longer than callers use them again.
-    constexpr std::chrono::seconds idleMargin { 2 };
-    constexpr unsigned mostOtherConnections = 200;
+    /// Added to the configured time for which callers reuse idle connections, so that the router keeps them open for
+    /// longer than that.
+    constexpr std::chrono::seconds idleTimeoutMargin { 2 };
+    constexpr unsigned maxInternalConnections = 200;
 
-    net::ServerResponse plain(int status, std::string body = {})
+    net::ServerResponse textResponse(int status, std::string body = {})
     {
         return { status, { { "Content-Type", "text/plain" } }, std::move(body) };
     }
 
-    /// @return an age for people and tests, null where nothing is known.
+    /// @return the age in milliseconds, or null if unknown.
     nlohmann::json ageMs(std::optional<Duration> age)
     {
         return age ? nlohmann::json(std::chrono::duration_cast<std::chrono::milliseconds>(*age).count()) : nullptr;
     }
 
-    /// @param callerConnections 0: not for callers.
-    absl::StatusOr<std::unique_ptr<net::HttpServer>> listen(
-        net::EventLoop& loop, const std::string& address, unsigned callerConnections, net::HttpServer::Handler handler)
+    /// @param maxCallerConnections limit on the callers' listener; 0 for all other listeners.
+    absl::StatusOr<std::unique_ptr<net::HttpServer>> listen(net::EventLoop& loop, const std::string& address,
+        unsigned maxCallerConnections, net::HttpServer::Handler handler)
     {
         const auto endpoint = net::parseEndpoint(address);
         if (!endpoint.ok())
@@ -54,17 +56,17 @@
         net::ServerOptions options;
         options.listen = *endpoint;
         options.loop = &loop;
-        options.maxBodyBytes = callerConnections ? mostCallerBody : mostOtherBody;
-        options.maxConnections = callerConnections ? callerConnections : mostOtherConnections;
-        options.idleTimeout = callerConnections ? callerIdle : otherIdle;
+        options.maxBodyBytes = maxCallerConnections ? maxCallerBodyBytes : maxInternalBodyBytes;
+        options.maxConnections = maxCallerConnections ? maxCallerConnections : maxInternalConnections;
+        options.idleTimeout = maxCallerConnections ? callerIdleTimeout : internalIdleTimeout;
         return net::HttpServer::make(options, std::move(handler));
     }
 
 } // namespace
 
-absl::StatusOr<std::unique_ptr<Listeners>> Listeners::make(const Options& options, const ListenerTools& tools)
+absl::StatusOr<std::unique_ptr<Listeners>> Listeners::make(const Options& options, const ListenerContext& context)
 {
-    std::unique_ptr<Listeners> listeners(new Listeners(tools));
+    std::unique_ptr<Listeners> listeners(new Listeners(context));
     if (absl::Status status = listeners->open(options); !status.ok())
         return status;
     return listeners;
@@ -77,18 +79,22 @@
         std::string address;
         net::HttpServer::Handler handler;
     };
-    const std::chrono::seconds kept
-        = std::min(locateKept, std::chrono::seconds(static_cast<int>(options.locateKeptSeconds)));
-    const unsigned mostConnections = options.mostCallerConnections();
+    const std::chrono::seconds cacheTime
+        = std::min(maxLocateCacheTime, std::chrono::seconds(static_cast<int>(options.locateKeptSeconds)));
+    const unsigned callerConnectionLimit = options.maxCallerConnections();
     const std::vector<Listener> all {
-        { m_callers, options.callersListen, [this](const ExchangePointer& it) { m_tools.front.handle(it); } },
+        { m_callers, options.callersListen,
+            [this](const ExchangePointer& it) { m_context.requestHandler.handle(it); } },
         { m_readiness, options.readinessListen, [this](const ExchangePointer& it) { handleReadiness(*it); } },
         { m_control, options.controlListen, [this](const ExchangePointer& it) { handleControl(*it); } },
-        { m_locate, options.locateListen, [this, kept](const ExchangePointer& it) { handleLocate(*it, kept); } },
-        { m_metrics, options.at(options.metricsPort()), [this](const ExchangePointer& it) { handleControl(*it); } },
+        { m_locate, options.locateListen,
+            [this, cacheTime](const ExchangePointer& it) { handleLocate(*it, cacheTime); } },
+        { m_metrics, options.endpointFor(options.metricsPort()),
+            [this](const ExchangePointer& it) { handleControl(*it); } },
     };
     for (const Listener& it : all) {
-        auto server = listen(m_tools.loop, it.address, &it.server == &m_callers ? mostConnections : 0, it.handler);
+        auto server
+            = listen(m_context.loop, it.address, &it.server == &m_callers ? callerConnectionLimit : 0, it.handler);
         if (!server.ok())
             return server.status();
         it.server = std::move(*server);
@@ -96,69 +102,70 @@
     return absl::OkStatus();
 }
 
-void Listeners::followLimits()
+void Listeners::updateLimits()
 {
-    const auto table = m_tools.state.table();
+    const auto table = m_context.state.table();
     if (table)
-        m_callers->setIdleTimeout(std::chrono::ceil<std::chrono::seconds>(table->config().limits.idle) + idleMargin);
-    const RouterWork work { m_tools.loop.busyTime(), m_tools.state.requestsTaken, m_tools.state.requestsCrowdedOut,
-        m_tools.state.piecesRelayed };
+        m_callers->setIdleTimeout(
+            std::chrono::ceil<std::chrono::seconds>(table->config().limits.idle) + idleTimeoutMargin);
+    const RouterWork work { m_context.loop.busyTime(), m_context.state.requestsAccepted, m_context.state.requestsShed,
+        m_context.state.chunksRelayed };
     const TimePoint now = steadyNow();
-    m_tools.crowd.measure(now, work, m_callers->openConnections());
-    m_tools.state.isCrowded = m_tools.crowd.isCrowded();
-    m_tools.state.usePercent = m_tools.crowd.usePercent();
+    m_context.overloadMeter.measure(now, work, m_callers->openConnections());
+    m_context.state.isCrowded = m_context.overloadMeter.isCrowded();
+    m_context.state.usePercent = m_context.overloadMeter.usePercent();
     const bool wasOpen = m_readinessGate.isOpen();
-    m_readinessGate.measure(now, m_tools.crowd.usePercent(), m_tools.fleet.meanUsePercent(now));
+    m_readinessGate.measure(now, m_context.overloadMeter.usePercent(), m_context.fleet.meanUsePercent(now));
     if (m_readinessGate.isOpen() != wasOpen)
         process::log(process::LogLevel::Warning, wasOpen ? "not-ready-for-load" : "ready-again",
-            { { "use-percent", std::to_string(m_tools.crowd.usePercent()) },
-                { "fleet-percent", std::to_string(m_tools.fleet.meanUsePercent(now)) } });
+            { { "use-percent", std::to_string(m_context.overloadMeter.usePercent()) },
+                { "fleet-percent", std::to_string(m_context.fleet.meanUsePercent(now)) } });
 }
 
 void Listeners::handleReadiness(net::ServerExchange& exchange)
 {
-    if (!m_tools.entry.isReadinessCheck(exchange.request()))
-        exchange.respond(plain(notFound));
+    if (!m_context.entryProtocol.isReadinessCheck(exchange.request()))
+        exchange.respond(textResponse(notFound));
     else
-        exchange.respond(plain(m_tools.state.canServe() && m_readinessGate.isOpen() ? okStatus : unavailable));
+        exchange.respond(textResponse(m_context.state.canServe() && m_readinessGate.isOpen() ? okStatus : unavailable));
 }
 
-void Listeners::handleLocate(net::ServerExchange& exchange, std::chrono::seconds kept)
+void Listeners::handleLocate(net::ServerExchange& exchange, std::chrono::seconds cacheTime)
 {
-    const std::optional<ZoneId> zone = m_tools.entry.decodeLocate(exchange.request());
+    const std::optional<ZoneId> zone = m_context.entryProtocol.decodeLocate(exchange.request());
     if (!zone) {
-        exchange.respond(plain(notFound));
+        exchange.respond(textResponse(notFound));
         return;
     }
     const std::vector<std::string> addresses
-        = m_tools.fleet.entryPoints(steadyNow(), *zone, exchange.request().peerAddress);
-    if (m_toldAddresses.exchange(addresses.size()) != addresses.size())
+        = m_context.fleet.entryPoints(steadyNow(), *zone, exchange.request().peerAddress);
+    if (m_lastAddressCount.exchange(addresses.size()) != addresses.size())
         process::log(process::LogLevel::Info, "addresses-for-callers",
             { { "count", std::to_string(addresses.size()) }, { "zone", zone->value },
                 { "caller", exchange.request().peerAddress } });
     if (addresses.empty())
-        exchange.respond(plain(unavailable, "no router is ready\n"));
+        exchange.respond(textResponse(unavailable, "no router is ready\n"));
     else
-        exchange.respond(m_tools.entry.locateAnswer(addresses, kept));
+        exchange.respond(m_context.entryProtocol.locateAnswer(addresses, cacheTime));
 }
 
-nlohmann::json Listeners::status() const
+nlohmann::json Listeners::statusJson() const
 {
     nlohmann::json targets = nlohmann::json::array();
-    for (const dispatch::Target& it : m_tools.state.withTargets([](const auto& it) { return it.targets(); }))
+    for (const dispatch::Target& it : m_context.state.withTargets([](const auto& it) { return it.targets(); }))
         targets.push_back({ { "id", it.id.value }, { "service", it.service.value }, { "address", it.address },
             { "born", it.born }, { "zone", it.zone.value }, { "draining", it.draining } });
     nlohmann::json peers = nlohmann::json::array();
-    for (const Peer& it : m_tools.fleet.peers(steadyNow()))
+    for (const Peer& it : m_context.fleet.peers(steadyNow()))
         peers.push_back({ { "vm", it.vm.value }, { "zone", it.zone.value }, { "ready", it.isReady },
             { "configVersion", it.knowledge.configVersion }, { "configAgeMs", ageMs(it.knowledge.configAge) },
             { "targetsAgeMs", ageMs(it.knowledge.targetsAge) }, { "readAgeMs", ageMs(it.knowledge.readAge) } });
-    const news::ToldKnowledge told = m_tools.state.told();
-    return { { "vm", m_tools.state.vm.value }, { "configVersion", m_tools.state.configVersion() },
-        { "canServe", m_tools.state.canServe() }, { "readyForLoad", m_readinessGate.isOpen() },
-        { "usePercent", m_tools.state.usePercent.load() }, { "configAgeMs", ageMs(told.configAge) },
-        { "targetsAgeMs", ageMs(told.targetsAge) }, { "readAgeMs", ageMs(told.readAge) },
-        { "activeRequests", m_tools.state.activeRequests.load() }, { "droppedLogLines", process::droppedLogLines() },
+    const news::ToldKnowledge known = m_context.state.knowledgeForPeers();
+    return { { "vm", m_context.state.vm.value }, { "configVersion", m_context.state.configVersion() },
+        { "canServe", m_context.state.canServe() }, { "readyForLoad", m_readinessGate.isOpen() },
+        { "usePercent", m_context.state.usePercent.load() }, { "configAgeMs", ageMs(known.configAge) },
+        { "targetsAgeMs", ageMs(known.targetsAge) }, { "readAgeMs", ageMs(known.readAge) },
+        { "activeRequests", m_context.state.activeRequests.load() }, { "droppedLogLines", process::droppedLogLines() },
         { "targets", std::move(targets) }, { "peers", std::move(peers) } };
 }
 
@@ -166,20 +173,20 @@
 {
     const std::string_view name = std::string_view(exchange.request().path).substr(quarantinePath.size());
     if (exchange.request().method == "GET" && name.empty()) {
-        exchange.respond(net::jsonResponse(okStatus, crashCases()));
+        exchange.respond(net::jsonResponse(okStatus, crashCasesJson()));
         return;
     }
     const auto key = name.starts_with('/') ? quarantine::requestKeyFromHex(name.substr(1)) : std::nullopt;
     const bool isReleased = key && exchange.request().method == "DELETE"
-        && m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.crashes().release(*key); });
-    exchange.respond(plain(isReleased ? okStatus : notFound));
+        && m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.crashes().release(*key); });
+    exchange.respond(textResponse(isReleased ? okStatus : notFound));
 }
 
-nlohmann::json Listeners::crashCases() const
+nlohmann::json Listeners::crashCasesJson() const
 {
     nlohmann::json requests = nlohmann::json::array();
     for (const quarantine::CrashCase& it :
-        m_tools.state.withDispatcher([](dispatch::Dispatcher& it) { return it.crashes().cases(); }))
+        m_context.state.withDispatcher([](dispatch::Dispatcher& it) { return it.crashes().cases(); }))
         requests.push_back({ { "key", quarantine::toHex(it.request) }, { "targetEnds", it.targets.size() },
             { "quarantined", it.isQuarantined() } });
     return { { "requests", std::move(requests) } };
@@ -189,20 +196,20 @@
 {
     const std::string& path = exchange.request().path;
     if (path == peerStatePath) {
-        const PeerState state = peerStateFor(m_tools.state, decodePeerStateRequest(exchange.request().query));
+        const PeerState state = makePeerState(m_context.state, decodePeerStateRequest(exchange.request().query));
         exchange.respond({ okStatus, { { "Content-Type", "application/cbor" } }, encode(state) });
     } else if (path == "/metrics") {
-        exchange.respond(plain(okStatus, m_tools.metrics.exposition()));
+        exchange.respond(textResponse(okStatus, m_context.metrics.exposition()));
     } else if (path == "/v1/status") {
-        exchange.respond(net::jsonResponse(okStatus, status()));
+        exchange.respond(net::jsonResponse(okStatus, statusJson()));
     } else if (path.starts_with(quarantinePath)) {
         handleQuarantine(exchange);
     } else if (path == "/healthz") {
-        exchange.respond(plain(okStatus));
+        exchange.respond(textResponse(okStatus));
     } else if (path == "/readyz") {
-        exchange.respond(plain(m_tools.state.canServe() ? okStatus : unavailable));
+        exchange.respond(textResponse(m_context.state.canServe() ? okStatus : unavailable));
     } else {
-        exchange.respond(plain(notFound));
+        exchange.respond(textResponse(notFound));
     }
 }
 
--- a/apps/sagechute-edge/Listeners.h
+++ b/apps/sagechute-edge/Listeners.h
@@ -1,53 +1,53 @@
 #pragma once
 
 #include "Fleet.h"
-#include "Front.h"
+#include "RequestHandler.h"
 
 #include <nlohmann/json_fwd.hpp>
 
 namespace sagechute::edge {
 
-struct ListenerTools {
+struct ListenerContext {
     EdgeState& state;
     Fleet& fleet;
-    Front& front;
-    CrowdMeter& crowd;
-    const EntryProtocol& entry;
+    RequestHandler& requestHandler;
+    CrowdMeter& overloadMeter;
+    const EntryProtocol& entryProtocol;
     process::Metrics& metrics;
     net::EventLoop& loop; ///< Drives all listeners.
 };
 
-/// The sockets of an edge router: callers, readiness, control and "which address".
+/// The HTTP listeners of an edge router: callers' requests, readiness checks, control, address lookups and metrics.
 class Listeners {
 public:
-    static absl::StatusOr<std::unique_ptr<Listeners>> make(const Options&, const ListenerTools&);
+    static absl::StatusOr<std::unique_ptr<Listeners>> make(const Options&, const ListenerContext&);
 
-    /// Refuses new connections of callers; those open go on.
-    void stopTakingCallers() { m_callers->stopListening(); }
+    /// Refuses callers' new connections; open ones continue.
+    void stopListeningForCallers() { m_callers->stopListening(); }
 
-    /// Takes over what the newest configuration says of connections, and looks whether there is too much to do. To be
-    /// called a few times a second.
-    void followLimits();
+    /// Applies the current configuration's idle timeout, and updates the overload measurement and the readiness. Call
+    /// it a few times a second.
+    void updateLimits();
 
 private:
-    explicit Listeners(const ListenerTools& tools)
-        : m_tools(tools)
+    explicit Listeners(const ListenerContext& context)
+        : m_context(context)
     {
     }
 
     absl::Status open(const Options&);
     void handleReadiness(net::ServerExchange&);
-    void handleLocate(net::ServerExchange&, std::chrono::seconds kept);
+    void handleLocate(net::ServerExchange&, std::chrono::seconds cacheTime);
     void handleControl(net::ServerExchange&);
 
-    /// Tells the requests under which targets ended, or releases one of them.
+    /// Lists the requests during which targets ended, or releases one from quarantine.
     void handleQuarantine(net::ServerExchange&);
-    nlohmann::json crashCases() const;
-    nlohmann::json status() const;
+    nlohmann::json crashCasesJson() const;
+    nlohmann::json statusJson() const;
 
-    const ListenerTools m_tools;
+    const ListenerContext m_context;
     ReadinessGate m_readinessGate;
-    std::atomic<std::size_t> m_toldAddresses { 0 }; ///< In the last answer, for the log.
+    std::atomic<std::size_t> m_lastAddressCount { 0 }; ///< Number of addresses in the last lookup answer, for the log.
     std::unique_ptr<net::HttpServer> m_callers;
     std::unique_ptr<net::HttpServer> m_readiness;
     std::unique_ptr<net::HttpServer> m_control;
--- a/apps/sagechute-edge/Options.cpp
+++ b/apps/sagechute-edge/Options.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-    constexpr double longestSeconds = 3600;
+    constexpr double maxSeconds = 3600;
 
-    /// By then every prompt that is asked for often has come again; what comes later for the first time is new.
-    constexpr Duration homesTrustedAfterRestart = std::chrono::seconds(20);
+    /// By then every frequent prompt has been requested again; a prompt that is first seen later is new.
+    constexpr Duration affinityWarmUpAfterRestart = std::chrono::seconds(20);
 
     Duration fromSeconds(double seconds) { return Duration(static_cast<Duration::rep>(seconds * 1e6)); }
 
@@ -28,46 +28,49 @@
         if (range.size() == 2 && parsePort(range[0]) && parsePort(range[1])
             && *parsePort(range[0]) <= *parsePort(range[1]))
             return absl::OkStatus();
-        return makeError(
-            ErrorKind::BadRequest, "--port-range is not a first and a last port", "write it as --port-range 7400,7415");
+        return makeError(ErrorKind::BadRequest,
+            "--port-range must be two ports in 1..65535, the first not above the last",
+            "for example --port-range 7400,7415");
     }
 
 } // namespace
 
 void Options::declare(process::Settings& settings)
 {
-    settings.requiredText("vm-id", vm, "name of this VM, unique in the fleet")
+    settings.requiredText("vm-id", vm, "unique name of this VM in the fleet")
         .requiredText("zone", zone, "availability zone of this VM")
         .requiredText("callers-listen", callersListen, "ADDRESS:PORT for callers' requests")
         .requiredText("readiness-listen", readinessListen, "ADDRESS:PORT for readiness checks")
         .requiredText("control-listen", controlListen, "ADDRESS:PORT for other routers and for metrics")
-        .requiredText("locate-listen", locateListen, "ADDRESS:PORT where callers ask which address to use")
+        .requiredText("locate-listen", locateListen, "ADDRESS:PORT where callers look up router addresses")
         .requiredText("address", address, "address of this VM for traffic between routers")
         .list("port-range", portRange, "first and last port for traffic between routers")
         .list("seeds", seeds, "ADDRESS:PORT of the control listeners of some routers")
         .requiredText("store", store, "ADDRESS:PORT of the platform's store")
-        .count("max-descriptors", maxDescriptors, 256, 1'000'000, "sockets and files that this process may open")
-        .count("memory-mb", memoryMb, 32, 1'000'000, "memory that this process may take, in MB")
-        .real("cpu-share", cpuShare, 0.01, 1024, "cores that this process may use")
-        .real("core-speed", coreSpeed, 0.01, 1024, "how many times as fast as an ordinary core its cores are")
-        .real("stop-grace-seconds", stopGraceSeconds, 0.1, longestSeconds, "from SIGTERM until the process is killed")
-        .real("locate-kept-seconds", locateKeptSeconds, 1, longestSeconds,
-            "the longest that callers keep an answer to which address to use")
-        .real("share-window-seconds", shareWindowSeconds, 0.1, longestSeconds,
-            "window over which customers' shares are compared")
-        .real("retry-ratio", retryRatio, 0, 1, "retries per request that all routers together may send to a service")
-        .real("retry-slack", retrySlack, 0, 1e6, "retries that come on top, all routers together")
-        .real("retry-window-seconds", retryWindowSeconds, 0.1, longestSeconds, "window of the retry budget")
-        .count("least-routers", leastRouters, 1, 100000, "routers among which the retry budget is divided at least")
+        .count("max-descriptors", maxDescriptors, 256, 1'000'000, "limit on open sockets and files of this process")
+        .count("memory-mb", memoryMb, 32, 1'000'000, "memory limit of this process, in MB")
+        .real("cpu-share", cpuShare, 0.01, 1024, "CPU limit of this process, in cores")
+        .real("core-speed", coreSpeed, 0.01, 1024, "speed of its cores relative to an ordinary core")
+        .real("stop-grace-seconds", stopGraceSeconds, 0.1, maxSeconds,
+            "time from SIGTERM until the platform kills the process")
+        .real("locate-kept-seconds", locateKeptSeconds, 1, maxSeconds,
+            "longest time that callers may cache a lookup of router addresses")
+        .real("share-window-seconds", shareWindowSeconds, 0.1, maxSeconds,
+            "window over which customers' shares are computed")
+        .real("retry-ratio", retryRatio, 0, 1, "retries per request to a service that all routers together may send")
+        .real("retry-slack", retrySlack, 0, 1e6, "retries allowed beyond that ratio, for all routers together")
+        .real("retry-window-seconds", retryWindowSeconds, 0.1, maxSeconds,
+            "window over which the retry budget is computed")
+        .count("least-routers", leastRouters, 1, 100000, "smallest number of routers to divide the retry budget by")
         .count("config-bound-ms", configBoundMs, 100, 600'000,
-            "from the store's acknowledgement until a configuration must be in force here")
+            "longest time from the store's acknowledgement of a configuration until it is in force here")
         .count("drain-bound-ms", drainBoundMs, 100, 600'000,
-            "from the store's acknowledgement until a leaving target must get no more requests")
+            "longest time from the store's acknowledgement that a target drains until it gets no new requests")
         .flag("first-start", isFirstStart,
-            "the whole fleet starts for the first time: targets keep nothing, and callers come only later")
+            "the whole fleet starts for the first time: target caches are empty, and callers connect only later")
         .text("log-level", logLevel, "debug, info, warning or error")
         .count("log-lines-per-second", logLinesPerSecond, 1, 1000000,
-            "lines above it are dropped and counted, so that a fault can't fill the log")
+            "lines beyond this rate are dropped and counted, so that a fault cannot flood the log")
         .check([this] { return checkPorts(portRange); });
 }
 
@@ -75,7 +78,7 @@
 
 std::uint16_t Options::metricsPort() const { return *parsePort(portRange.back()); }
 
-std::string Options::at(std::uint16_t port) const { return address + ":" + std::to_string(port); }
+std::string Options::endpointFor(std::uint16_t port) const { return address + ":" + std::to_string(port); }
 
 std::vector<std::string> Options::gossipSeeds() const
 {
@@ -88,13 +91,13 @@
     return result;
 }
 
-unsigned Options::mostCallerConnections() const
+unsigned Options::maxCallerConnections() const
 {
-    // 200 descriptors that the platform sets aside for files, and as many sockets to targets as a flooded router was
-    // seen to use.
+    // 200 descriptors that the platform reserves for files, and 800 sockets to targets, as many as a flooded router has
+    // been observed to use.
     constexpr std::uint64_t otherDescriptors = 200 + 800;
     constexpr std::uint64_t leastConnections = 100;
-    // Most of it for its headers; half of the process's memory is for connections.
+    // Memory per connection, most of it for headers; connections may use half of the process's memory.
     constexpr std::uint64_t connectionKilobytes = 36;
     const std::uint64_t byDescriptors = maxDescriptors > otherDescriptors ? maxDescriptors - otherDescriptors : 0;
     const std::uint64_t byMemory = memoryMb * 1024 / 2 / connectionKilobytes;
@@ -107,9 +110,9 @@
     return static_cast<std::uint32_t>(std::lround(cores() * thousandths));
 }
 
-unsigned Options::affordableLogLines() const
+unsigned Options::maxLogLinesPerSecond() const
 {
-    // A line costs some 60 us; at this rate they take a twentieth of the cores.
+    // A log line costs about 60 us of CPU time, so this rate uses a twentieth of the cores.
     constexpr double linesPerCore = 800;
     const auto affordable = static_cast<std::uint64_t>(std::max(1.0, linesPerCore * cores()));
     return static_cast<unsigned>(std::min(logLinesPerSecond, affordable));
@@ -128,7 +131,7 @@
     settings.retrySlack = retrySlack;
     settings.retryWindow = fromSeconds(retryWindowSeconds);
     settings.leastRouters = static_cast<unsigned>(leastRouters);
-    settings.homesTrusted = isFirstStart ? Duration::zero() : homesTrustedAfterRestart;
+    settings.homesTrusted = isFirstStart ? Duration::zero() : affinityWarmUpAfterRestart;
     return settings;
 }
 
--- a/apps/sagechute-edge/Options.h
+++ b/apps/sagechute-edge/Options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The settings of an edge router.
+/// Settings of an edge router.
 
 #include <sagechute/Edge.h>
 #include <sagechute/Process.h>
@@ -38,31 +38,31 @@
 
     void declare(process::Settings&);
 
-    /// @return the first port for traffic between routers.
+    /// @return the first port of the range for traffic between routers.
     std::uint16_t gossipPort() const;
 
-    /// @return the last of these ports: a fixed place for metrics, whatever the control listener's port is.
+    /// @return the last port of that range, where metrics are served whatever the control listener's port is.
     std::uint16_t metricsPort() const;
 
-    /// @return address of a port of this VM, as text.
-    std::string at(std::uint16_t port) const;
+    /// @return ADDRESS:PORT of a port of this VM.
+    std::string endpointFor(std::uint16_t port) const;
 
-    /// @return the seeds' addresses with the port that gossip uses.
+    /// @return the seeds' gossip addresses, without this router's own.
     std::vector<std::string> gossipSeeds() const;
 
-    /// @return how many connections of callers descriptors and memory allow.
-    unsigned mostCallerConnections() const;
+    /// @return the limit on callers' connections, from the descriptor and memory limits.
+    unsigned maxCallerConnections() const;
 
-    /// @return cores of ordinary speed that this process may use.
+    /// @return the CPU limit of this process in cores of ordinary speed.
     double cores() const { return cpuShare * coreSpeed; }
 
-    /// @return the same in thousandths, as routers tell it to each other.
+    /// @return cores() in thousandths, as routers announce it to each other.
     std::uint32_t capacity() const;
 
-    /// @return log lines a second: the setting, or what a small VM can afford.
-    unsigned affordableLogLines() const;
+    /// @return the log rate limit: the setting, or less where the cores cannot afford it.
+    unsigned maxLogLinesPerSecond() const;
 
-    /// @return when the store is read, by the tighter of the two bounds.
+    /// @return the schedule of store reads, derived from the tighter of the configuration and the drain bound.
     news::NewsTimes newsTimes() const;
 
     dispatch::DispatchSettings dispatchSettings() const;
--- a/apps/sagechute-edge/PeerFollower.h
+++ b/apps/sagechute-edge/PeerFollower.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Asks other routers for what they know of the store.
+/// Fetches other routers' knowledge of the store.
 
 #include "ConfigIntake.h"
 #include "EdgeMetrics.h"
@@ -12,9 +12,9 @@
 
 namespace sagechute::edge {
 
-/// A thread that fetches what another router was heard to know, and asks any when nothing is heard: see
-/// news::PeerRequests. It also drops targets whose missing entries were kept long enough, and tells how old is what
-/// this router knows.
+/// A thread that fetches newer state from the router that last announced it, or from a random router when none did; see
+/// news::PeerRequests. It also expires targets whose missing entries have been retained long enough, and reports the
+/// age of this router's knowledge.
 class PeerFollower {
 public:
     PeerFollower(EdgeState&, Fleet&, ConfigIntake&, net::HttpClient&, PeerInbox&, EdgeMetrics&, const Options&);
@@ -23,29 +23,29 @@
     void start();
 
 private:
-    /// Answers of other routers since what is known last grew newer.
-    struct Tries {
-        std::optional<TimePoint> since; ///< Until when all was known then.
+    /// Outcomes of fetches since this router's knowledge was last updated.
+    struct FetchCounts {
+        std::optional<TimePoint> since; ///< Time up to which everything was known at that update.
         unsigned answered = 0;
         unsigned unanswered = 0;
     };
 
     void run();
-    Duration untilLook() const;
-    void askOthers(const std::optional<RouterContact>& source);
-    void askAnyone(TimePoint now);
-    void ask(const RouterContact&, TimePoint now, news::PeerRequests::Whom);
-    void take(const PeerAnswer&);
-    void takeTargets(const PeerState&, const PeerAnswer&);
-
-    /// @return the count since what is known last grew newer.
-    Tries& tries();
-    void noteAge();
-    void noteKept();
+    Duration nextWait() const;
+    void fetchIfDue(const std::optional<RouterContact>& source);
+    void fetchFromRandomPeer(TimePoint now);
+    void fetch(const RouterContact&, TimePoint now, news::PeerRequests::Whom);
+    void handleResponse(const PeerResponse&);
+    void applyTargets(const PeerState&, const PeerResponse&);
+
+    /// @return the counts, reset if the knowledge has been updated since the last call.
+    FetchCounts& fetchCounts();
+    void reportKnowledgeAge();
+    void logRetainedTargets();
 
     EdgeState& m_state;
     Fleet& m_fleet;
-    ConfigIntake& m_intake;
+    ConfigIntake& m_configIntake;
     net::HttpClient& m_client;
     PeerInbox& m_inbox;
     EdgeMetrics& m_metrics;
@@ -53,8 +53,8 @@
     const TimePoint m_startedAt = unsuspendedNow();
     SeededRandom m_random;
     news::PeerRequests m_requests;
-    Tries m_tries;
-    std::optional<TimePoint> m_keptUntil; ///< Missing entries of targets are kept until then, as logged.
+    FetchCounts m_fetchCounts;
+    std::optional<TimePoint> m_retainedUntil; ///< As last logged; see news::TargetRoster::keepsMissingUntil().
     std::thread m_thread;
 };
 
--- a/apps/sagechute-edge/PeerInbox.h
+++ b/apps/sagechute-edge/PeerInbox.h
@@ -7,49 +7,49 @@
 
 namespace sagechute::edge {
 
-/// What a router answered when it was asked for what it knows.
-struct PeerAnswer {
+/// A router's response to a request for its state.
+struct PeerResponse {
     RouterContact peer;
-    TimePoint sent; ///< When it was asked, by unsuspendedNow().
-    net::ClientResponse response;
+    TimePoint sentAt; ///< When the request was sent, on the clock of unsuspendedNow().
+    net::ClientResponse http;
 };
 
-/// For the thread that asks other routers: whom it was heard of to know more of the store, and what those answered.
-/// Every member function may be called from any thread.
+/// Input of the thread that fetches other routers' state: the router that has newer knowledge of the store, and
+/// responses. Every member function may be called from any thread.
 ///
-/// Asking must not wait for a read of the store: a store that keeps silent to one router holds its call for seconds, in
-/// which the others' news would come too late.
+/// Fetching must not wait for a read of the store: a store that does not answer blocks a read for seconds, in which the
+/// peers' updates would come too late.
 class PeerInbox {
 public:
-    struct Content {
-        std::optional<RouterContact> source; ///< The newest that was heard of; it replaces the others.
-        std::vector<PeerAnswer> answers;
+    struct Events {
+        std::optional<RouterContact> source; ///< The last router that announced newer knowledge; replaces earlier ones.
+        std::vector<PeerResponse> responses;
     };
 
-    void heard(const RouterContact& router)
+    void addSource(const RouterContact& router)
     {
         {
             std::lock_guard lock(m_mutex);
-            m_content.source = router;
+            m_events.source = router;
         }
         m_changed.notify_one();
     }
 
-    void answered(PeerAnswer answer)
+    void addResponse(PeerResponse response)
     {
         {
             std::lock_guard lock(m_mutex);
-            m_content.answers.push_back(std::move(answer));
+            m_events.responses.push_back(std::move(response));
         }
         m_changed.notify_one();
     }
 
-    /// @return all that has come; nothing after @p wait, and nullopt, at once, when closed.
-    std::optional<Content> take(Duration wait)
+    /// @return all queued events, possibly none after @p wait; nullopt, without waiting, when closed.
+    std::optional<Events> take(Duration wait)
     {
         std::unique_lock lock(m_mutex);
-        m_changed.wait_for(lock, wait, [this] { return m_content.source || !m_content.answers.empty() || m_isClosed; });
-        return m_isClosed ? std::nullopt : std::optional(std::exchange(m_content, {}));
+        m_changed.wait_for(lock, wait, [this] { return m_events.source || !m_events.responses.empty() || m_isClosed; });
+        return m_isClosed ? std::nullopt : std::optional(std::exchange(m_events, {}));
     }
 
     void close()
@@ -64,7 +64,7 @@
 private:
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    Content m_content;
+    Events m_events;
     bool m_isClosed = false;
 };
 
--- a/apps/sagechute-edge/PeerState.cpp
+++ b/apps/sagechute-edge/PeerState.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-std::string pathFor(const PeerStateRequest& request)
+std::string peerStatePathFor(const PeerStateRequest& request)
 {
     std::string path = std::string(peerStatePath) + "?" + configField + "=" + std::to_string(request.configVersion);
     if (request.targetsNext)
@@ -65,11 +65,11 @@
     return request;
 }
 
-PeerState peerStateFor(const EdgeState& state, const PeerStateRequest& request)
+PeerState makePeerState(const EdgeState& state, const PeerStateRequest& request)
 {
     PeerState answer;
-    // What is known is told as of before the rest is read: it is then at least as new.
-    answer.knowledge = state.told();
+    // The knowledge is taken first, so that the data read after it is at least as new as claimed.
+    answer.knowledge = state.knowledgeForPeers();
     std::optional<news::ConfigRecord> config = state.configRecord();
     if (config && config->version > request.configVersion)
         answer.config = std::move(config);
@@ -110,7 +110,7 @@
             state.targets.push_back(decodeChange(it));
         return state;
     } catch (const json::exception& problem) {
-        return makeError(ErrorKind::BadRequest, std::string("a router's state can't be read: ") + problem.what(),
+        return makeError(ErrorKind::BadRequest, std::string("cannot decode another router's state: ") + problem.what(),
             "run the same release on all routers");
     }
 }
--- a/apps/sagechute-edge/PeerState.h
+++ b/apps/sagechute-edge/PeerState.h
@@ -1,22 +1,22 @@
 #pragma once
 
 /// @file
-/// What one router hands to another that knows less of the store.
+/// The state that a router sends to one with older knowledge of the store.
 
 #include "EdgeState.h"
 
 namespace sagechute::edge {
 
-/// What the asking router knows already.
+/// What the requesting router already has.
 struct PeerStateRequest {
     std::uint64_t configVersion = 0;
-    std::optional<LogOffset> targetsNext; ///< Absent: it knows no targets.
+    std::optional<LogOffset> targetsNext; ///< Absent: it has no targets.
 };
 
 struct PeerState {
-    news::ToldKnowledge knowledge; ///< Of the router that answers, as it answers.
-    std::optional<news::ConfigRecord> config; ///< Absent: nothing newer than what the asking router knows.
-    bool hasAllTargets = false; ///< All targets, not only changes.
+    news::ToldKnowledge knowledge; ///< Of the responding router, at the time of its response.
+    std::optional<news::ConfigRecord> config; ///< Absent: the requesting router has the newest.
+    bool hasAllTargets = false; ///< Whether this is the full list, not only changes.
     std::vector<news::TargetChange> targets;
 };
 
@@ -24,13 +24,13 @@
 inline constexpr const char* peerStatePath = "/v1/fleet-state";
 
 /// @return path and query of the request.
-std::string pathFor(const PeerStateRequest&);
+std::string peerStatePathFor(const PeerStateRequest&);
 
-/// @return what the asking router knows; what can't be read counts as not known.
+/// @return what the requesting router has; a number that cannot be parsed counts as absent.
 PeerStateRequest decodePeerStateRequest(const std::vector<net::Field>& query);
 
-/// @return what the asking router lacks.
-PeerState peerStateFor(const EdgeState&, const PeerStateRequest&);
+/// @return the state that the requesting router lacks.
+PeerState makePeerState(const EdgeState&, const PeerStateRequest&);
 
 std::string encode(const PeerState&);
 absl::StatusOr<PeerState> decodePeerState(std::string_view);
--- a/apps/sagechute-edge/Relay.cpp
+++ b/apps/sagechute-edge/Relay.cpp
@@ -6,27 +6,28 @@
 
 namespace {
 
-    /// A target on the same network accepts a connection within some ms. One lost packet costs the kernel a second,
-    /// which is longer than most goals; another target is then the better way.
+    /// A target on the same network accepts a connection within some milliseconds. The kernel retransmits a lost packet
+    /// only after 1 s, longer than most latency targets, so another target is the better choice.
     constexpr std::chrono::milliseconds connectTimeout { 300 };
 
-    /// A target whose VM has vanished acknowledges nothing. Two packets lost in a row cost some 600 ms.
+    /// Detects a target whose VM has vanished and acknowledges nothing. Two packets lost in a row delay the
+    /// acknowledgement by about 600 ms.
     constexpr std::chrono::milliseconds unackedTimeout { 1000 };
 
     constexpr double percent = 100;
 
-    /// What was last decided on a request: the refusal, where there is one after the last placement.
+    /// @return the last admission decision on a request: that of its refusal, if any, else of its placement.
     const dispatch::Admission& admissionOf(const relay::FlowRecord& record)
     {
         return record.isRefused ? record.refusal.admission : record.placement.admission;
     }
 
-    std::string milliseconds(Duration duration)
+    std::string formatDurationMs(Duration duration)
     {
         return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
     }
 
-    TimePoint dueOf(const RelayOrder& order)
+    TimePoint deadlineOf(const RelayOrder& order)
     {
         const Duration timeout = order.route->timeout;
         return order.arrived + (order.facts.deadline ? std::min(*order.facts.deadline, timeout) : timeout);
@@ -42,7 +43,7 @@
     relay::RequestFacts factsOf(const RelayOrder& order, quarantine::RequestKey key)
     {
         return { order.facts.id, order.route, order.service, order.customer, order.facts.prompt,
-            order.exchange->request().body.size(), order.arrived, dueOf(order), key };
+            order.exchange->request().body.size(), order.arrived, deadlineOf(order), key };
     }
 
     class AttemptSink final : public net::TransferSink {
@@ -55,7 +56,7 @@
         }
 
     private:
-        bool onBeforeRequest() override { return m_relay->isStillWanted(m_number, m_target); }
+        bool onBeforeRequest() override { return m_relay->shouldSend(m_number, m_target); }
         void onHeaders(int status, const std::vector<net::Field>& fields) override
         {
             m_relay->onHead(m_number, status, fields);
@@ -74,156 +75,156 @@
 
 } // namespace
 
-void Relay::start(const RelayTools& tools, RelayOrder order)
+void Relay::start(const RelayContext& context, RelayOrder order)
 {
-    auto relay = std::make_shared<Relay>(tools, std::move(order));
+    auto relay = std::make_shared<Relay>(context, std::move(order));
     relay->begin();
 }
 
-Relay::Relay(const RelayTools& tools, RelayOrder order)
-    : m_tools(tools)
+Relay::Relay(const RelayContext& context, RelayOrder order)
+    : m_context(context)
     , m_order(std::move(order))
     , m_key(keyOf(m_order))
     , m_flow(*this, factsOf(m_order, m_key))
 {
-    ++m_tools.state.activeRequests;
+    ++m_context.state.activeRequests;
 }
 
 Relay::~Relay() = default;
 
 void Relay::begin()
 {
-    handle([](relay::RequestFlow& flow, TimePoint now) { flow.begin(now); });
+    handleEvent([](relay::RequestFlow& flow, TimePoint now) { flow.begin(now); });
     const std::weak_ptr<Relay> weak = weak_from_this();
     m_order.exchange->onClosed([weak] {
         if (const auto relay = weak.lock())
-            relay->handle([](relay::RequestFlow& flow, TimePoint now) { flow.callerGone(now); });
+            relay->handleEvent([](relay::RequestFlow& flow, TimePoint now) { flow.callerGone(now); });
     });
 }
 
-template <typename Event> void Relay::handle(Event&& event)
+template <typename Event> void Relay::handleEvent(Event&& event)
 {
     std::lock_guard lock(m_mutex);
     event(m_flow, steadyNow());
     if (!m_flow.isDone())
         armTimer();
-    else if (!m_isConcluded)
-        conclude();
+    else if (!m_isCompleted)
+        complete();
 }
 
 void Relay::armTimer()
 {
     const TimePoint at = m_flow.nextWake();
-    if (m_timerAt == at)
+    if (m_timerDue == at)
         return;
-    if (m_timerAt)
-        m_tools.timers.remove(m_timer);
-    m_timerAt = at;
+    if (m_timerDue)
+        m_context.timers.cancel(m_timer);
+    m_timerDue = at;
     const std::weak_ptr<Relay> weak = weak_from_this();
-    m_timer = m_tools.timers.add(at, [weak] {
+    m_timer = m_context.timers.add(at, [weak] {
         if (const auto relay = weak.lock())
-            relay->handle([&relay](relay::RequestFlow& flow, TimePoint now) {
-                relay->m_timerAt.reset();
+            relay->handleEvent([&relay](relay::RequestFlow& flow, TimePoint now) {
+                relay->m_timerDue.reset();
                 flow.wake(now);
             });
     });
 }
 
-bool Relay::isStillWanted(unsigned number, const dispatch::TargetLife& target)
+bool Relay::shouldSend(unsigned number, const dispatch::TargetLife& target)
 {
     if (!m_order.exchange->isCallerThere()) {
-        handle([](relay::RequestFlow& flow, TimePoint now) { flow.callerGone(now); });
+        handleEvent([](relay::RequestFlow& flow, TimePoint now) { flow.callerGone(now); });
         return false;
     }
-    const bool maySend
-        = m_tools.state.withDispatcher([&](const dispatch::Dispatcher& it) { return it.maySend(steadyNow(), target); });
+    const bool maySend = m_context.state.withDispatcher(
+        [&](const dispatch::Dispatcher& it) { return it.maySend(steadyNow(), target); });
     if (!maySend)
-        handle([&](relay::RequestFlow& flow, TimePoint now) { flow.withdrawn(now, number); });
+        handleEvent([&](relay::RequestFlow& flow, TimePoint now) { flow.withdrawn(now, number); });
     return maySend;
 }
 
 void Relay::onHead(unsigned number, int status, const std::vector<net::Field>& fields)
 {
-    TargetAnswerHead head = m_tools.targets.decodeHead(status, fields);
-    handle([&](relay::RequestFlow& flow, TimePoint now) { flow.head(now, number, std::move(head)); });
+    TargetAnswerHead head = m_context.targetProtocol.decodeHead(status, fields);
+    handleEvent([&](relay::RequestFlow& flow, TimePoint now) { flow.head(now, number, std::move(head)); });
 }
 
 void Relay::onBytes(unsigned number, std::string_view bytes)
 {
-    handle([&](relay::RequestFlow& flow, TimePoint now) { flow.bytes(now, number, bytes); });
+    handleEvent([&](relay::RequestFlow& flow, TimePoint now) { flow.bytes(now, number, bytes); });
 }
 
 void Relay::onEnd(unsigned number, const net::TransferResult& result)
 {
-    handle([&](relay::RequestFlow& flow, TimePoint now) { flow.ended(now, number, result.end); });
+    handleEvent([&](relay::RequestFlow& flow, TimePoint now) { flow.ended(now, number, result.end); });
 }
 
 dispatch::Decision Relay::place(TimePoint now, const dispatch::Demand& demand, dispatch::Round round)
 {
-    return m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.place(now, demand, round); });
+    return m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.place(now, demand, round); });
 }
 
 void Relay::firstAnswer(TimePoint now, dispatch::AttemptId attempt)
 {
-    m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { it.firstAnswer(now, attempt); });
+    m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { it.firstAnswer(now, attempt); });
 }
 
 void Relay::attemptEnded(
     TimePoint now, dispatch::AttemptId attempt, dispatch::AttemptEnd end, const relay::AnswerEnd& answerEnd)
 {
-    m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { it.ended(now, attempt, end); });
-    m_tools.metrics.attempt(end);
-    m_tools.metrics.answerEnded(answerEnd);
+    m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { it.ended(now, attempt, end); });
+    m_context.metrics.recordAttempt(end);
+    m_context.metrics.recordAnswerEnd(answerEnd);
 }
 
 void Relay::targetSaid(TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
 {
-    m_tools.metrics.targetSaid(signals);
-    const dispatch::TargetSignals unknown = m_tools.state.targetSaid(now, target, signals);
+    m_context.metrics.recordTargetSignals(signals);
+    const dispatch::TargetSignals unknown = m_context.state.applyTargetSignals(now, target, signals);
     if (unknown.isDraining)
         process::log(process::LogLevel::Info, "target-draining",
             { { "target", toString(target) }, { "source", "answer" }, { "request", m_order.facts.id } });
     if (unknown.backoff)
         process::log(process::LogLevel::Info, "target-backoff",
-            { { "target", toString(target) }, { "ms", milliseconds(*unknown.backoff) },
+            { { "target", toString(target) }, { "ms", formatDurationMs(*unknown.backoff) },
                 { "request", m_order.facts.id } });
 }
 
 dispatch::Refusal Relay::giveUp(TimePoint now, const ServiceId& service)
 {
-    return m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.giveUp(now, service); });
+    return m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.giveUp(now, service); });
 }
 
 void Relay::send(const relay::AttemptOrder& order)
 {
-    net::ClientRequest request = m_tools.targets.encode(
+    net::ClientRequest request = m_context.targetProtocol.encode(
         { &m_order.exchange->request(), &order.placement.target, m_order.customer, order.left, order.resumeAfter });
     request.connectTimeout = connectTimeout;
     request.unackedTimeout = unackedTimeout;
     request.sendOnce = true;
-    m_transfer = m_tools.client.start(std::move(request),
+    m_transfer = m_context.client.start(std::move(request),
         std::make_unique<AttemptSink>(shared_from_this(), order.number, order.placement.target.life()));
 }
 
-void Relay::cancel() { m_tools.client.cancel(m_transfer); }
+void Relay::cancel() { m_context.client.cancel(m_transfer); }
 
-void Relay::closeIfWanted(std::vector<net::Field>& fields) const
+void Relay::addCloseHeader(std::vector<net::Field>& fields) const
 {
-    if (m_tools.state.wantsClose())
+    if (m_context.state.shouldCloseConnections())
         fields.push_back({ "Connection", "close" });
 }
 
 void Relay::startStream(int status, const std::vector<net::Field>& relayed)
 {
-    m_tools.metrics.firstEvent(m_flow.record().firstEventAfter, m_flow.record().firstEventError);
+    m_context.metrics.recordFirstEvent(m_flow.record().firstEventAfter, m_flow.record().firstEventError);
     std::vector<net::Field> fields = relayed;
-    closeIfWanted(fields);
+    addCloseHeader(fields);
     m_order.exchange->startStream(status, std::move(fields));
 }
 
 void Relay::write(std::string_view bytes)
 {
-    ++m_tools.state.piecesRelayed;
+    ++m_context.state.chunksRelayed;
     m_order.exchange->write(bytes);
 }
 
@@ -233,52 +234,52 @@
 
 void Relay::respond(const TargetAnswerHead& head, std::string body)
 {
-    sendAnswer({ head.status, head.relayed, std::move(body) });
+    sendResponse({ head.status, head.relayed, std::move(body) });
 }
 
-void Relay::refuse(int status, std::string_view reason, std::optional<Duration> comeBack)
+void Relay::refuse(int status, std::string_view reason, std::optional<Duration> retryAfter)
 {
-    if (comeBack)
-        m_tools.metrics.refusal(m_flow.record().refusal.reason);
-    sendAnswer(m_tools.callers.refusal(status, reason, comeBack));
+    if (retryAfter)
+        m_context.metrics.recordRefusal(m_flow.record().refusal.reason);
+    sendResponse(m_context.callerProtocol.refusal(status, reason, retryAfter));
 }
 
-void Relay::sendAnswer(net::ServerResponse response)
+void Relay::sendResponse(net::ServerResponse response)
 {
-    closeIfWanted(response.headers);
+    addCloseHeader(response.headers);
     m_order.exchange->respond(std::move(response));
 }
 
-void Relay::conclude()
+void Relay::complete()
 {
-    m_isConcluded = true;
-    --m_tools.state.activeRequests;
-    if (m_timerAt)
-        m_tools.timers.remove(m_timer);
+    m_isCompleted = true;
+    --m_context.state.activeRequests;
+    if (m_timerDue)
+        m_context.timers.cancel(m_timer);
     const relay::FlowRecord& record = m_flow.record();
-    const Duration lasted = steadyNow() - m_order.arrived;
-    const news::Knowledge known = m_tools.state.knowledge();
+    const Duration duration = steadyNow() - m_order.arrived;
+    const news::Knowledge known = m_context.state.knowledge();
     const dispatch::Admission& admission = admissionOf(record);
-    m_tools.metrics.request(m_order.route->name, record.status, lasted);
+    m_context.metrics.recordRequest(m_order.route->name, record.status, duration);
     process::log(process::LogLevel::Info, "request",
         { { "id", m_order.facts.id }, { "key", quarantine::toHex(m_key) }, { "route", m_order.route->name },
             { "customer", m_order.customer.value }, { "caller", m_order.exchange->request().peerAddress },
             { "service", m_order.service.value }, { "config", std::to_string(m_order.table->config().version) },
             { "status", std::to_string(record.status) }, { "outcome", record.outcome },
-            { "attempts", record.trace.empty() ? "none" : record.trace.substr(1) }, { "ms", milliseconds(lasted) },
-            { "first-ms", milliseconds(record.firstEventAfter) },
-            { "predicted-ms", milliseconds(record.placement.predictedFirst) },
+            { "attempts", record.trace.empty() ? "none" : record.trace.substr(1) },
+            { "ms", formatDurationMs(duration) }, { "first-ms", formatDurationMs(record.firstEventAfter) },
+            { "predicted-ms", formatDurationMs(record.placement.predictedFirst) },
             { "read-tokens", std::to_string(record.placement.tokensToRead) },
             { "prompt-tokens", std::to_string(m_order.facts.prompt.tokensIn) },
             { "answer-tokens", std::to_string(m_order.facts.prompt.tokensOut) },
-            { "wait-ms", milliseconds(admission.wait) }, { "allowed-ms", milliseconds(admission.allowed) },
+            { "wait-ms", formatDurationMs(admission.wait) }, { "allowed-ms", formatDurationMs(admission.allowed) },
             { "share-percent", std::to_string(static_cast<int>(admission.share * percent)) },
             { "far-above", admission.isFarAbove ? "yes" : "no" },
             { "size-helped", admission.isSizeHelped ? "yes" : "no" },
-            { "sums-age-ms", admission.sumsAge ? milliseconds(*admission.sumsAge) : "none" },
-            { "come-back-ms", milliseconds(record.refusal.comeBack) },
+            { "sums-age-ms", admission.sumsAge ? formatDurationMs(*admission.sumsAge) : "none" },
+            { "come-back-ms", formatDurationMs(record.refusal.comeBack) },
             { "targets-offset", std::to_string(known.targetsNext) },
-            { "known-ms", milliseconds(unsuspendedNow() - news::knownUntil(known).value_or(TimePoint {})) } });
+            { "known-ms", formatDurationMs(unsuspendedNow() - news::knownUntil(known).value_or(TimePoint {})) } });
 }
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/Relay.h
+++ b/apps/sagechute-edge/Relay.h
@@ -1,54 +1,54 @@
 #pragma once
 
 /// @file
-/// Carries the requests of callers: the sockets, timers and logs around relay::RequestFlow.
+/// Relays callers' requests to targets: the sockets, timers and logs around relay::RequestFlow.
 
-#include "DueTimers.h"
 #include "EdgeMetrics.h"
 #include "EdgeState.h"
+#include "TimerQueue.h"
 
 #include <sagechute/Relay.h>
 
 namespace sagechute::edge {
 
-/// What every relay uses. All of it outlives the relays.
-struct RelayTools {
+/// Dependencies shared by all relays, which they outlive.
+struct RelayContext {
     EdgeState& state;
     net::HttpClient& client;
-    const CallerProtocol& callers;
-    const TargetProtocol& targets;
-    DueTimers& timers;
+    const CallerProtocol& callerProtocol;
+    const TargetProtocol& targetProtocol;
+    TimerQueue& timers;
     EdgeMetrics& metrics;
 };
 
-/// A request whose route, customer and service are known.
+/// A request to be relayed, with its route, customer and service.
 struct RelayOrder {
     std::shared_ptr<net::ServerExchange> exchange;
     CallerFacts facts;
-    std::shared_ptr<const dispatch::RoutingTable> table; ///< The one that it was accepted under keeps its route alive.
+    std::shared_ptr<const dispatch::RoutingTable> table; ///< The table used on acceptance; keeps the route alive.
     const dispatch::Route* route = nullptr;
     ServiceId service;
     CustomerId customer;
     TimePoint arrived;
 };
 
-/// Carries one request to targets and their answer back.
+/// Relays one request to targets and the response back to the caller.
 ///
-/// Its events come from three threads: the server's (the caller leaves), the client's (the answer) and the timers'. One
-/// mutex makes them sequential; none of the calls made under it waits.
+/// Events come from the server (the caller disconnects), the client (the response) and the timers, possibly on three
+/// threads. A mutex serializes them; no call made under it blocks.
 class Relay : public std::enable_shared_from_this<Relay>, private relay::FlowPort {
 public:
-    static void start(const RelayTools&, RelayOrder);
+    static void start(const RelayContext&, RelayOrder);
 
-    Relay(const RelayTools&, RelayOrder);
+    Relay(const RelayContext&, RelayOrder);
     ~Relay() override;
 
-    /// Just before a request leaves: a router that lags behind for seconds would send on requests whose callers have
-    /// left or whose targets have asked for no more.
-    /// @return false when its caller has gone, or its target takes no more requests.
-    bool isStillWanted(unsigned number, const dispatch::TargetLife&);
+    /// Checks again just before a request is sent: a router that lags by seconds would otherwise send requests whose
+    /// callers have disconnected or whose targets have asked for no more.
+    /// @return false if the caller has disconnected or the target accepts no more requests.
+    bool shouldSend(unsigned number, const dispatch::TargetLife&);
 
-    // From the attempt's sink.
+    // Called by the attempt's transfer sink.
     void onHead(unsigned number, int status, const std::vector<net::Field>&);
     void onBytes(unsigned number, std::string_view);
     void onEnd(unsigned number, const net::TransferResult&);
@@ -66,26 +66,26 @@
     void finish() override;
     void abort() override;
     void respond(const TargetAnswerHead&, std::string body) override;
-    void refuse(int status, std::string_view reason, std::optional<Duration> comeBack) override;
+    void refuse(int status, std::string_view reason, std::optional<Duration> retryAfter) override;
 
     void begin();
 
-    /// Calls @p event with the flow, then sets its timer, or concludes it.
-    template <typename Event> void handle(Event&& event);
+    /// Calls @p event with the flow, then arms the timer for the flow's next wake-up, or completes the request.
+    template <typename Event> void handleEvent(Event&& event);
     void armTimer();
-    void conclude();
-    void sendAnswer(net::ServerResponse);
-    void closeIfWanted(std::vector<net::Field>&) const;
+    void complete();
+    void sendResponse(net::ServerResponse);
+    void addCloseHeader(std::vector<net::Field>&) const;
 
-    const RelayTools m_tools;
+    const RelayContext m_context;
     const RelayOrder m_order;
     const quarantine::RequestKey m_key;
 
     std::mutex m_mutex;
     relay::RequestFlow m_flow;
-    bool m_isConcluded = false;
-    DueTimers::TimerId m_timer = 0;
-    std::optional<TimePoint> m_timerAt;
+    bool m_isCompleted = false;
+    TimerQueue::TimerId m_timer = 0;
+    std::optional<TimePoint> m_timerDue;
     net::TransferId m_transfer = 0;
 };
 
--- a/apps/sagechute-edge/Front.cpp
+++ b/apps/sagechute-edge/RequestHandler.cpp
@@ -1,4 +1,4 @@
-#include "Front.h"
+#include "RequestHandler.h"
 
 namespace sagechute::edge {
 
@@ -10,21 +10,21 @@
     constexpr int tooLarge = 413;
     constexpr int unavailable = 503;
 
-    /// A router that has just started learns the configuration within about this time.
-    constexpr Duration startTime = std::chrono::milliseconds(500);
+    /// A router that has just started receives the configuration within about this time.
+    constexpr Duration startupRetryAfter = std::chrono::milliseconds(500);
 
-    /// Another router takes the request at once.
-    constexpr Duration stopComeBack = std::chrono::milliseconds(20);
+    /// Another router can accept the request at once.
+    constexpr Duration stoppingRetryAfter = std::chrono::milliseconds(20);
 
-    /// Another router may take it at once; the same one has let its queue shrink.
-    constexpr Duration crowdComeBack = std::chrono::milliseconds(150);
+    /// Another router may accept the request at once; by then this one has worked off part of its queue.
+    constexpr Duration overloadRetryAfter = std::chrono::milliseconds(150);
 
-    /// @return a number in [0, 1) that is the same wherever this request is decided on.
-    double pointOf(const std::string& id) { return static_cast<double>(stableHash(id) >> 11) * 0x1.0p-53; }
+    /// @return a number in [0, 1) for a request's identity, the same on every router.
+    double hashToUnitInterval(const std::string& id) { return static_cast<double>(stableHash(id) >> 11) * 0x1.0p-53; }
 
 } // namespace
 
-void Front::handle(std::shared_ptr<net::ServerExchange> exchange)
+void RequestHandler::handle(std::shared_ptr<net::ServerExchange> exchange)
 {
     RelayOrder order;
     order.arrived = steadyNow();
@@ -33,62 +33,62 @@
         return;
     }
     order.exchange = std::move(exchange);
-    Relay::start(m_tools, std::move(order));
+    Relay::start(m_context, std::move(order));
 }
 
-std::optional<Front::Verdict> Front::accept(const net::ServerRequest& request, RelayOrder& order)
+std::optional<RequestHandler::Verdict> RequestHandler::accept(const net::ServerRequest& request, RelayOrder& order)
 {
-    absl::StatusOr<CallerFacts> facts = m_tools.callers.decode(request);
+    absl::StatusOr<CallerFacts> facts = m_context.callerProtocol.decode(request);
     if (!facts.ok())
         return Verdict { badRequest, "bad-request", std::nullopt };
     order.facts = std::move(*facts);
-    if (m_tools.state.isRefusing)
-        return Verdict { unavailable, "stopping", stopComeBack };
-    order.table = m_tools.state.table();
-    // Without a configuration nobody can say that a route or a key does not exist.
+    if (m_context.state.isRejectingRequests)
+        return Verdict { unavailable, "stopping", stoppingRetryAfter };
+    order.table = m_context.state.table();
+    // Without a configuration the router cannot know that a route or a key does not exist.
     if (!order.table)
-        return Verdict { unavailable, "no-configuration-yet", startTime };
+        return Verdict { unavailable, "no-configuration-yet", startupRetryAfter };
     order.route = order.table->findRoute(order.facts.host, request.rawTarget);
     if (!order.route)
-        return denied(notFound, "no-such-route");
+        return denialVerdict(notFound, "no-such-route");
     if (!order.route->isPublic && !order.table->config().customers.empty()) {
         const dispatch::Customer* customer = order.table->findCustomer(order.facts.key);
         if (!customer)
-            return denied(unauthenticated, "unknown-key");
+            return denialVerdict(unauthenticated, "unknown-key");
         order.customer = customer->id;
     }
     if (order.facts.id.empty())
         return Verdict { badRequest, "no-request-id", std::nullopt };
     if (request.body.size() > order.table->config().limits.bodyBytes)
         return Verdict { tooLarge, "body-too-large", std::nullopt };
-    if (!m_crowd.takes(order.arrived, order.customer)) {
-        ++m_tools.state.requestsCrowdedOut;
-        m_tools.state.withDispatcher(
+    if (!m_overloadMeter.takes(order.arrived, order.customer)) {
+        ++m_context.state.requestsShed;
+        m_context.state.withDispatcher(
             [&](dispatch::Dispatcher& it) { it.turnedAway(order.arrived, order.customer, order.facts.prompt); });
-        return Verdict { unavailable, "router-crowded", crowdComeBack };
+        return Verdict { unavailable, "router-crowded", overloadRetryAfter };
     }
-    ++m_tools.state.requestsTaken;
-    const ServiceId* service = dispatch::RoutingTable::chooseService(*order.route, pointOf(order.facts.id));
+    ++m_context.state.requestsAccepted;
+    const ServiceId* service = dispatch::RoutingTable::chooseService(*order.route, hashToUnitInterval(order.facts.id));
     if (!service)
-        return Verdict { unavailable, "route-without-service", startTime };
+        return Verdict { unavailable, "route-without-service", startupRetryAfter };
     order.service = *service;
     return std::nullopt;
 }
 
-Front::Verdict Front::denied(int status, std::string_view reason) const
+RequestHandler::Verdict RequestHandler::denialVerdict(int status, std::string_view reason) const
 {
-    const Denial denial = denialOf(status, m_tools.state.isKnowledgeLate);
+    const Denial denial = denialOf(status, m_context.state.isKnowledgeStale);
     return { denial.status, denial.comeBack ? "configuration-may-be-old" : reason, denial.comeBack };
 }
 
-void Front::reject(net::ServerExchange& exchange, const RelayOrder& order, const Verdict& verdict) const
+void RequestHandler::reject(net::ServerExchange& exchange, const RelayOrder& order, const Verdict& verdict) const
 {
-    net::ServerResponse response = m_tools.callers.refusal(verdict.status, verdict.reason, verdict.comeBack);
-    if (m_tools.state.wantsClose())
+    net::ServerResponse response = m_context.callerProtocol.refusal(verdict.status, verdict.reason, verdict.retryAfter);
+    if (m_context.state.shouldCloseConnections())
         response.headers.push_back({ "Connection", "close" });
     exchange.respond(std::move(response));
     const std::string version = order.table ? std::to_string(order.table->config().version) : "none";
-    m_tools.metrics.request(order.route ? order.route->name : "none", verdict.status, Duration::zero());
+    m_context.metrics.recordRequest(order.route ? order.route->name : "none", verdict.status, Duration::zero());
     process::log(process::LogLevel::Info, "request",
         { { "id", order.facts.id }, { "route", order.route ? order.route->name : "none" },
             { "customer", order.customer.value }, { "config", version }, { "status", std::to_string(verdict.status) },
--- a/apps/sagechute-edge/StoreFollower.cpp
+++ b/apps/sagechute-edge/StoreFollower.cpp
@@ -8,31 +8,33 @@
 
 namespace {
 
-    /// A reader whose calls are all answered with news at once, as while many targets leave, lets some of them gather.
-    constexpr int leastPauseParts = 5; ///< Of the time that the store may keep a call.
+    /// Shortest interval between reads, as a divisor of the store's hold time. Batches records when every call is
+    /// answered at once, as while many targets leave.
+    constexpr int minIntervalDivisor = 5;
 
-    /// Who reads changes with what is heard; looked at some times within the time after which a reader counts as lost.
-    constexpr int looksPerBound = 10;
+    /// Which routers read the store changes with heartbeats, so this is checked several times within the time after
+    /// which a reader counts as lost.
+    constexpr int checksPerBound = 10;
 
-    double placeOf(const std::string& vm) { return static_cast<double>(stableHash(vm) >> 11) * 0x1.0p-53; }
+    double hashToUnitInterval(const std::string& vm) { return static_cast<double>(stableHash(vm) >> 11) * 0x1.0p-53; }
 
-    bool isIn(const std::vector<std::string>& list, const std::string& item)
+    bool contains(const std::vector<std::string>& list, const std::string& item)
     {
         return std::find(list.begin(), list.end(), item) != list.end();
     }
 
 } // namespace
 
-StoreFollower::StoreFollower(EdgeState& state, Fleet& fleet, news::FleetStore& store, ConfigIntake& intake,
+StoreFollower::StoreFollower(EdgeState& state, Fleet& fleet, news::FleetStore& store, ConfigIntake& configIntake,
     EdgeMetrics& metrics, const Options& options)
     : m_state(state)
     , m_fleet(fleet)
     , m_store(store)
-    , m_intake(intake)
+    , m_configIntake(configIntake)
     , m_metrics(metrics)
     , m_times(options.newsTimes())
-    , m_isSeed(isIn(options.seeds, options.controlListen))
-    , m_place(placeOf(options.vm))
+    , m_isSeed(contains(options.seeds, options.controlListen))
+    , m_place(hashToUnitInterval(options.vm))
     , m_config { "configuration", &StoreFollower::readConfig, [](const news::Knowledge& it) { return it.configUntil; },
         &state.configReadAt }
     , m_targets { "targets", &StoreFollower::readTargets, [](const news::Knowledge& it) { return it.targetsUntil; },
@@ -42,13 +44,13 @@
 
 void StoreFollower::start()
 {
-    m_threads.emplace_back([this] { follow(m_config); });
-    m_threads.emplace_back([this] { follow(m_targets); });
+    m_threads.emplace_back([this] { run(m_config); });
+    m_threads.emplace_back([this] { run(m_targets); });
 }
 
 StoreFollower::~StoreFollower()
 {
-    m_gate.stop();
+    m_sleeper.stop();
     for (std::thread& it : m_threads)
         it.join();
 }
@@ -67,10 +69,10 @@
     return it;
 }
 
-void StoreFollower::follow(Topic& topic)
+void StoreFollower::run(Topic& topic)
 {
     Duration delay {};
-    while (m_gate.pause(delay)) {
+    while (m_sleeper.sleepFor(delay)) {
         const std::optional<TimePoint> until = topic.knownUntil(m_state.knowledge());
         if (topic.failedAt && until && *until > *topic.failedAt) {
             topic.cursor.renewed();
@@ -79,10 +81,10 @@
         const news::ReadOccasion now = occasion(topic);
         TimePoint due = news::readDue(now, m_times);
         if (topic.sentAt)
-            due = std::max(due, *topic.sentAt + m_times.wait / leastPauseParts);
+            due = std::max(due, *topic.sentAt + m_times.wait / minIntervalDivisor);
         const Duration left = due - unsuspendedNow();
         if (left > Duration::zero()) {
-            delay = std::min(left, m_times.bound / looksPerBound);
+            delay = std::min(left, m_times.bound / checksPerBound);
         } else {
             topic.sentAt = unsuspendedNow();
             const bool isRead = (this->*topic.read)(topic, now.standing.isReader ? m_times.wait : Duration::zero());
@@ -92,7 +94,7 @@
     }
 }
 
-bool StoreFollower::noteRead(Topic& topic, const absl::Status& status, LogOffset next)
+bool StoreFollower::recordRead(Topic& topic, const absl::Status& status, LogOffset next)
 {
     m_metrics.storeCalls().Increment();
     const TimePoint now = unsuspendedNow();
@@ -100,7 +102,7 @@
         topic.readAt->store(now);
         if (const std::optional<Duration> away = topic.cursor.readDone(now, next))
             process::log(
-                process::LogLevel::Info, "store-regained", { { "topic", topic.name }, { "away-ms", msText(*away) } });
+                process::LogLevel::Info, "store-regained", { { "topic", topic.name }, { "away-ms", formatMs(*away) } });
         return true;
     }
     if (errorKind(status) == ErrorKind::RetentionExceeded) {
@@ -115,19 +117,19 @@
 
 bool StoreFollower::readConfig(Topic& topic, Duration wait)
 {
-    if (const LogOffset known = m_intake.next())
+    if (const LogOffset known = m_configIntake.nextOffset())
         topic.cursor.toldByPeer(known);
     const std::optional<LogOffset> from = topic.cursor.next();
     const TimePoint sent = unsuspendedNow();
     const absl::StatusOr<news::ConfigNews> found
-        = from ? m_store.followConfig(*from, toMs(wait)) : m_store.readConfig();
-    if (!noteRead(topic, found.status(), found.ok() ? found->next : 0))
+        = from ? m_store.followConfig(*from, toMilliseconds(wait)) : m_store.readConfig();
+    if (!recordRead(topic, found.status(), found.ok() ? found->next : 0))
         return false;
-    noteUnreadable(topic.name, found->unreadable);
+    reportUnreadable(topic.name, found->unreadable);
     if (found->newest)
-        m_intake.adopt(*found->newest, "store");
+        m_configIntake.install(*found->newest, "store");
     const bool isEmpty = from && found->next == *from;
-    m_state.configKnown(news::knownByRead(sent, unsuspendedNow(), wait, isEmpty));
+    m_state.extendConfigKnowledge(news::knownByRead(sent, unsuspendedNow(), wait, isEmpty));
     return true;
 }
 
@@ -138,21 +140,21 @@
     const std::optional<LogOffset> from = topic.cursor.next();
     const TimePoint sent = unsuspendedNow();
     const absl::StatusOr<news::TargetNews> found
-        = from ? m_store.followTargets(*from, toMs(wait)) : m_store.readTargets();
-    if (!noteRead(topic, found.status(), found.ok() ? found->next : 0))
+        = from ? m_store.followTargets(*from, toMilliseconds(wait)) : m_store.readTargets();
+    if (!recordRead(topic, found.status(), found.ok() ? found->next : 0))
         return false;
     const TimePoint now = unsuspendedNow();
     const bool isEmpty = from && found->next == *from;
     const TimePoint until = news::knownByRead(sent, now, wait, isEmpty);
-    m_state.changeTargets([&](news::TargetRoster& roster) {
-        // Known first: a long absence decides whether what is missing now has lapsed.
+    m_state.updateTargets([&](news::TargetRoster& roster) {
+        // Must come first: after a long gap in reads, entries that are missing now may only have expired.
         roster.known(found->next, news::ReadSpan { sent, until });
         if (from)
             roster.applyAll(now, found->changes);
         else
             roster.replace(now, found->changes, found->next);
     });
-    noteUnreadable(topic.name, found->unreadable);
+    reportUnreadable(topic.name, found->unreadable);
     for (const news::TargetChange& it : found->changes) {
         if (!it.target || it.target->draining)
             process::log(process::LogLevel::Info, it.target ? "target-draining" : "target-gone",
@@ -162,12 +164,12 @@
     return true;
 }
 
-void StoreFollower::noteUnreadable(const char* topic, const std::vector<news::UnreadableRecord>& records)
+void StoreFollower::reportUnreadable(const char* topic, const std::vector<news::UnreadableRecord>& records)
 {
     if (records.empty())
         return;
     m_metrics.unreadableRecords().Increment(static_cast<double>(records.size()));
-    // One line a read, however many there are: another writer must not fill the log.
+    // One line per read, however many records there are, so that another writer cannot flood the log.
     const news::UnreadableRecord& first = records.front();
     process::log(process::LogLevel::Warning, "records-unreadable",
         { { "topic", topic }, { "count", std::to_string(records.size()) }, { "first-key", first.key },
--- a/apps/sagechute-edge/StoreFollower.h
+++ b/apps/sagechute-edge/StoreFollower.h
@@ -1,29 +1,29 @@
 #pragma once
 
 /// @file
-/// Reads the store.
+/// Reads configuration and targets from the store.
 
 #include "ConfigIntake.h"
 #include "EdgeMetrics.h"
 #include "Fleet.h"
-#include "StopGate.h"
+#include "InterruptibleSleeper.h"
 
 #include <thread>
 
 namespace sagechute::edge {
 
-/// Two threads that read the two topics of the store when that is due, see news::readDue().
+/// Two threads, one per topic of the store, that read it when due; see news::readDue().
 class StoreFollower {
 public:
     StoreFollower(EdgeState&, Fleet&, news::FleetStore&, ConfigIntake&, EdgeMetrics&, const Options&);
 
-    /// Waits for the calls in flight, for some seconds at most.
+    /// Blocks until calls in flight have ended, at most some seconds.
     ~StoreFollower();
 
     void start();
 
 private:
-    /// One of the topics, and how its reads went; of the thread that reads it.
+    /// A topic and the state of its reads. Used only by the thread that reads it.
     struct Topic {
         const char* name;
         bool (StoreFollower::*read)(Topic&, Duration wait);
@@ -34,17 +34,17 @@
         std::optional<TimePoint> failedAt;
     };
 
-    void follow(Topic&);
+    void run(Topic&);
     news::ReadOccasion occasion(const Topic&) const;
     bool readConfig(Topic&, Duration wait);
     bool readTargets(Topic&, Duration wait);
-    bool noteRead(Topic&, const absl::Status&, LogOffset next);
-    void noteUnreadable(const char* topic, const std::vector<news::UnreadableRecord>&);
+    bool recordRead(Topic&, const absl::Status&, LogOffset next);
+    void reportUnreadable(const char* topic, const std::vector<news::UnreadableRecord>&);
 
     EdgeState& m_state;
     Fleet& m_fleet;
     news::FleetStore& m_store;
-    ConfigIntake& m_intake;
+    ConfigIntake& m_configIntake;
     EdgeMetrics& m_metrics;
     const news::NewsTimes m_times;
     const bool m_isSeed;
@@ -52,7 +52,7 @@
     const TimePoint m_startedAt = unsuspendedNow();
     Topic m_config;
     Topic m_targets;
-    StopGate m_gate;
+    InterruptibleSleeper m_sleeper;
     std::vector<std::thread> m_threads;
 };
 
--- a/apps/sagechute-edge/main.cpp
+++ b/apps/sagechute-edge/main.cpp
@@ -1,13 +1,13 @@
 /// @file
-/// The edge router: takes callers' requests on the users' platform and shares targets fairly.
+/// The edge router: accepts callers' requests on the users' platform and shares the targets fairly between customers.
 
 #include "CrashJournal.h"
-#include "FleetSearch.h"
-#include "Front.h"
 #include "Housekeeping.h"
 #include "Listeners.h"
 #include "Options.h"
 #include "PeerFollower.h"
+#include "RequestHandler.h"
+#include "RouterDiscovery.h"
 #include "StoreFollower.h"
 
 #include <Platform.h>
@@ -20,7 +20,7 @@
 
 namespace {
 
-    /// Connections to targets are used again within this time; targets close idle ones after some seconds more.
+    /// Idle connections to targets are reused for at most this long; targets close theirs some seconds later.
     constexpr std::chrono::seconds pooledIdle { 4 };
 
     absl::StatusOr<std::unique_ptr<net::HttpClient>> makeClient(net::EventLoop& loop)
@@ -38,18 +38,19 @@
         return 1;
     }
 
-    int serve(const Options& options, Incarnation incarnation, SettingsWatch& watch, process::StopSignal& stop)
+    int serve(
+        const Options& options, Incarnation incarnation, SettingsWatcher& settingsWatcher, process::StopSignal& stop)
     {
         EdgeState state(
             options.dispatchSettings(), options.newsTimes(), { options.vm }, { options.zone }, std::random_device {}());
         process::Metrics metrics;
         EdgeMetrics edgeMetrics(metrics);
-        DueTimers timers;
+        TimerQueue timers;
         PeerInbox inbox;
 
-        // One loop carries all: a request and its answer pass from the caller's connection to the target's without a
-        // lock or a thread switch between them. No call on it waits; the store's and the peers' calls wait on threads
-        // of their own.
+        // All connections run on one event loop, so that a request and its response pass between the caller's and the
+        // target's connection without a lock or a thread switch. Nothing on the loop blocks; blocking calls to the
+        // store, and the handling of peers' responses, have their own threads.
         auto loop = net::EventLoop::make();
         if (!loop.ok())
             return failStart(loop.status());
@@ -68,52 +69,54 @@
         auto fleet = Fleet::make(state, inbox, options, incarnation);
         if (!fleet.ok())
             return failStart(fleet.status());
-        CrowdMeter crowd(options.cores(), options.mostCallerConnections());
-        Front front({ state, **targetClient, *callerProtocol, *targetProtocol, timers, edgeMetrics }, crowd);
-        auto listeners = Listeners::make(options, { state, **fleet, front, crowd, *entryProtocol, metrics, **loop });
+        CrowdMeter overloadMeter(options.cores(), options.maxCallerConnections());
+        RequestHandler requestHandler(
+            { state, **targetClient, *callerProtocol, *targetProtocol, timers, edgeMetrics }, overloadMeter);
+        auto listeners = Listeners::make(
+            options, { state, **fleet, requestHandler, overloadMeter, *entryProtocol, metrics, **loop });
         if (!listeners.ok())
             return failStart(listeners.status());
-        ConfigIntake intake(state, *store);
-        StoreFollower storeFollower(state, **fleet, *store, intake, edgeMetrics, options);
-        PeerFollower peerFollower(state, **fleet, intake, **peerClient, inbox, edgeMetrics, options);
-        FleetSearch search(state, **fleet, *store, edgeMetrics);
+        ConfigIntake configIntake(state, *store);
+        StoreFollower storeFollower(state, **fleet, *store, configIntake, edgeMetrics, options);
+        PeerFollower peerFollower(state, **fleet, configIntake, **peerClient, inbox, edgeMetrics, options);
+        RouterDiscovery discovery(state, **fleet, *store, edgeMetrics);
         storeFollower.start();
         peerFollower.start();
-        search.start();
+        discovery.start();
         CrashJournal crashJournal(state, **fleet, *store, options);
         crashJournal.start();
         process::log(process::LogLevel::Info, "started",
             { { "callers", options.callersListen }, { "gossip", (*fleet)->gossipAddress() }, { "store", options.store },
                 { "version", std::string(process::version()) } });
 
-        ShareWatch shareWatch(state, edgeMetrics);
-        CrashWatch crashWatch(state, **targetClient, crashJournal, edgeMetrics);
-        Housekeeping(state, **fleet, **listeners, shareWatch, crashWatch, timers, watch).run(stop);
-        planStop(state, **fleet, **listeners, crashWatch, timers, options);
+        ShareMonitor shareMonitor(state, edgeMetrics);
+        CrashMonitor crashMonitor(state, **targetClient, crashJournal, edgeMetrics);
+        Housekeeping(state, **fleet, **listeners, shareMonitor, crashMonitor, timers, settingsWatcher).run(stop);
+        drainAndStop(state, **fleet, **listeners, crashMonitor, timers, options);
         process::log(
             process::LogLevel::Info, "stopped", { { "cut-off", std::to_string(state.activeRequests.load()) } });
-        // Threads may be waiting for a store or a peer that does not answer, for longer than the platform's patience.
-        // Nothing is kept that would need a destructor; the kernel closes the sockets.
+        // Threads may still be blocked on a store or a peer that does not answer, for longer than the platform waits
+        // before it kills the process. No state needs a destructor, and the kernel closes the sockets.
         _exit(0);
     }
 
     int run(int argc, char** argv)
     {
         Options options;
-        SettingsWatch watch(argc, argv);
-        if (const auto code = watch.read(options))
+        SettingsWatcher settingsWatcher(argc, argv);
+        if (const auto code = settingsWatcher.read(options))
             return *code;
         process::StopSignal stop;
-        const Incarnation incarnation = drawIncarnation();
+        const Incarnation incarnation = generateIncarnation();
         process::StreamLimits limits;
-        limits.linesPerSecond = options.affordableLogLines();
+        limits.linesPerSecond = options.maxLogLinesPerSecond();
         if (absl::Status status
             = process::startLogging("sagechute-edge", options.logLevel, { options.vm }, incarnation, limits);
             !status.ok()) {
             fprintf(stderr, "%s\n", std::string(status.message()).c_str());
             return process::exitUsage;
         }
-        return serve(options, incarnation, watch, stop);
+        return serve(options, incarnation, settingsWatcher, stop);
     }
 
 } // namespace
