--- a/apps/sagechute-edge/CrashWatch.cpp
+++ b/apps/sagechute-edge/CrashWatch.cpp
@@ -64,16 +64,16 @@
 void CrashWatch::tick(TimePoint now)
 {
     std::vector<quarantine::TargetCheck> checks;
-    quarantine::CrashNews news;
+    quarantine::QuarantineUpdate news;
     m_state.withDispatcher([&](dispatch::Dispatcher& it) {
         checks = it.crashes().checksDue(now);
-        news = it.crashes().takeNews();
+        news = it.crashes().takeUpdate();
     });
     for (const quarantine::TargetCheck& it : checks)
         check(it);
     tell(news);
-    if (!news.own.empty())
-        m_journal.write(news.own);
+    if (!news.ownRecords.empty())
+        m_journal.write(news.ownRecords);
 }
 
 void CrashWatch::check(const quarantine::TargetCheck& check)
@@ -94,9 +94,9 @@
     return std::to_string(key);
 }
 
-void CrashWatch::tell(const quarantine::CrashNews& news)
+void CrashWatch::tell(const quarantine::QuarantineUpdate& news)
 {
-    for (const quarantine::TargetEnd& it : news.ends) {
+    for (const quarantine::TargetExit& it : news.targetExits) {
         m_metrics.targetEnded(it.evidence);
         process::log(process::LogLevel::Warning, "target-ended",
             { { "target", nameOf(it.target) }, { "evidence", std::string(toString(it.evidence)) },
--- a/apps/sagechute-edge/CrashWatch.h
+++ b/apps/sagechute-edge/CrashWatch.h
@@ -22,7 +22,7 @@
 
 private:
     void check(const quarantine::TargetCheck&);
-    void tell(const quarantine::CrashNews&);
+    void tell(const quarantine::QuarantineUpdate&);
 
     /// @return its name, or the key where the list of targets has it no longer.
     std::string nameOf(quarantine::TargetKey) const;
--- a/apps/sagechute-edge/EdgeMetrics.cpp
+++ b/apps/sagechute-edge/EdgeMetrics.cpp
@@ -112,7 +112,7 @@
         m_sumsAge.Observe(seconds(*view.sumsAge));
 }
 
-void EdgeMetrics::targetEnded(quarantine::EndEvidence evidence)
+void EdgeMetrics::targetEnded(quarantine::ExitEvidence evidence)
 {
     m_targetEnds.Add({ { "evidence", std::string(toString(evidence)) } }).Increment();
 }
@@ -134,16 +134,16 @@
     m_attempts.Add({ { "end", std::string(toString(end)) } }).Increment();
 }
 
-void EdgeMetrics::answerEnded(const relay::AnswerEnd& end)
+void EdgeMetrics::answerEnded(const relay::ResponseEnd& end)
 {
     const bool isClosed = end.transfer == net::TransferEnd::Closed;
-    if (isClosed || end.cutBytes)
+    if (isClosed || end.truncatedBytes)
         m_answerEnds
-            .Add({ { "framing", isClosed ? "connection" : "announced" }, { "cut", end.cutBytes ? "yes" : "no" } })
+            .Add({ { "framing", isClosed ? "connection" : "announced" }, { "cut", end.truncatedBytes ? "yes" : "no" } })
             .Increment();
 }
 
-void EdgeMetrics::targetSaid(const dispatch::TargetSignals& signals)
+void EdgeMetrics::onTargetSignals(const dispatch::TargetSignals& signals)
 {
     if (signals.isDraining)
         m_signals.Add({ { "signal", "draining" } }).Increment();
--- a/apps/sagechute-edge/EdgeMetrics.h
+++ b/apps/sagechute-edge/EdgeMetrics.h
@@ -19,10 +19,10 @@
     void attempt(dispatch::AttemptEnd);
 
     /// Counts those whose framing did not say where they end, and those cut inside an event.
-    void answerEnded(const relay::AnswerEnd&);
-    void targetSaid(const dispatch::TargetSignals&);
+    void answerEnded(const relay::ResponseEnd&);
+    void onTargetSignals(const dispatch::TargetSignals&);
     void refusal(dispatch::RefusalReason);
-    void targetEnded(quarantine::EndEvidence);
+    void targetEnded(quarantine::ExitEvidence);
     prometheus::Gauge& quarantined() { return m_quarantined; }
 
     prometheus::Counter& storeCalls() { return m_storeCalls; }
--- a/apps/sagechute-edge/EdgeState.cpp
+++ b/apps/sagechute-edge/EdgeState.cpp
@@ -70,7 +70,7 @@
     return missing;
 }
 
-dispatch::TargetSignals EdgeState::targetSaid(
+dispatch::TargetSignals EdgeState::onTargetSignals(
     TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
 {
     dispatch::TargetSignals unknown;
--- a/apps/sagechute-edge/EdgeState.h
+++ b/apps/sagechute-edge/EdgeState.h
@@ -40,7 +40,7 @@
     }
 
     /// Puts in force what a target said of itself. @return what of it was not known.
-    dispatch::TargetSignals targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&);
+    dispatch::TargetSignals onTargetSignals(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&);
 
     /// Calls @p use with the list of targets.
     template <typename Use> auto withTargets(Use&& use) const
@@ -70,13 +70,13 @@
 
     std::atomic<bool> isStopping { false };
     std::atomic<bool> isRefusing { false }; ///< The planned stop has come so far that a new request might be cut off.
-    std::atomic<bool> isKnowledgeLate { false }; ///< What is known of the store is older than the bound.
+    std::atomic<bool> isKnowledgeStale { false }; ///< What is known of the store is older than the bound.
     std::atomic<std::uint64_t> requestsTaken { 0 }; ///< See RouterWork, for this and the next two.
     std::atomic<std::uint64_t> requestsCrowdedOut { 0 };
     std::atomic<std::uint64_t> piecesRelayed { 0 };
-    std::atomic<bool> isCrowded { false }; ///< So many connections that callers are to close theirs.
-    std::atomic<std::uint32_t> usePercent { 0 }; ///< See RouterUse.
-    bool wantsClose() const { return isStopping || isCrowded; }
+    std::atomic<bool> shouldShedConnections { false }; ///< So many connections that callers are to close theirs.
+    std::atomic<std::uint32_t> utilizationPercent { 0 }; ///< See RouterUtilization.
+    bool wantsClose() const { return isStopping || shouldShedConnections; }
     /// When the last read of each topic was answered that this router made itself, by unsuspendedNow(); zero: never.
     std::atomic<TimePoint> configReadAt { TimePoint {} };
     std::atomic<TimePoint> targetsReadAt { TimePoint {} };
--- a/apps/sagechute-edge/Fleet.cpp
+++ b/apps/sagechute-edge/Fleet.cpp
@@ -27,8 +27,8 @@
     /// Under this name the dispatcher keeps what a relay told of all others.
     const VmId sumOfOthers { "others" };
 
-    /// Four heartbeats within heartbeatKept, so that three lost datagrams don't take a router out of the answers.
-    constexpr Duration idleInterval = heartbeatKept / 4;
+    /// Four heartbeats within heartbeatTimeout, so that three lost datagrams don't take a router out of the answers.
+    constexpr Duration idleInterval = heartbeatTimeout / 4;
 
     /// The lower bits of an incarnation are drawn, so that two lives that start in the same millisecond by a clock that
     /// was set back differ.
@@ -161,22 +161,22 @@
 Heartbeat Fleet::heartbeat(HeartbeatScope scope) const
 {
     return { { { m_options.vm }, m_incarnation, m_options.callersListen, m_options.controlListen, { m_options.zone },
-                 m_state.canServe(), m_state.told(), m_options.capacity(), m_state.usePercent, scope },
+                 m_state.canServe(), m_state.told(), m_options.capacity(), m_state.utilizationPercent, scope },
         {}, {}, {}, 0 };
 }
 
-std::string Fleet::report(HeartbeatScope scope, FleetUse use, const dispatch::LoadReport& load) const
+std::string Fleet::report(HeartbeatScope scope, FleetUtilization use, const dispatch::LoadReport& load) const
 {
     Heartbeat message = heartbeat(scope);
     message.use = std::move(use);
     message.load = encode(load);
     message.sentAt = unsuspendedNow();
-    return encodeShared(message);
+    return encodeCommonPart(message);
 }
 
 void Fleet::send(const RouterAddress& to, std::uint64_t includedSerial, std::string_view shared)
 {
-    m_socket->send(to.gossipAddress, heartbeatTag + addressed(includedSerial, shared));
+    m_socket->send(to.gossipAddress, heartbeatTag + withIncludedSerial(includedSerial, shared));
 }
 
 void Fleet::sendOwn(TimePoint now)
@@ -198,7 +198,7 @@
 
 void Fleet::sendSums(TimePoint now, const dispatch::LoadReport& own)
 {
-    m_desk.memberReported(now, { m_options.vm }, own);
+    m_desk.setRouterReport(now, { m_options.vm }, own);
     const dispatch::LoadReport zone = m_desk.zoneSum(now);
     const std::string toRelays = report(HeartbeatScope::Zone, ownZoneUse(now), zone);
     for (const RouterAddress& it : m_plan.relays)
@@ -209,22 +209,22 @@
         send(it, m_desk.includedSerial(now, it.vm), toMembers);
     subtract(all, own);
     m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, sumOfOthers, all); });
-    m_desk.passedOn();
+    m_desk.clearForwardedPrompts();
     logLateReports(now);
 }
 
 void Fleet::logLateReports(TimePoint now)
 {
-    std::set<std::string> late = m_desk.late(now);
-    if (late == m_lateReports)
+    std::set<std::string> staleSources = m_desk.staleSources(now);
+    if (staleSources == m_lateReports)
         return;
     std::map<std::string, bool> changed;
-    for (const std::string& it : late) {
+    for (const std::string& it : staleSources) {
         if (!m_lateReports.contains(it))
             changed.emplace(it, true);
     }
     for (const std::string& it : m_lateReports) {
-        if (!late.contains(it))
+        if (!staleSources.contains(it))
             changed.emplace(it, false);
     }
     std::string text;
@@ -233,29 +233,29 @@
         if (named++ < mostNamedChanges)
             text += (text.empty() ? "" : ",") + name + (isLate ? ":late" : ":in-time");
     }
-    m_lateReports = std::move(late);
+    m_lateReports = std::move(staleSources);
     process::log(process::LogLevel::Info, "reports-left-out",
         { { "count", std::to_string(m_lateReports.size()) }, { "changed", text } });
 }
 
-FleetUse Fleet::ownZoneUse(TimePoint now) const
+FleetUtilization Fleet::ownZoneUse(TimePoint now) const
 {
-    std::vector<RouterUse> routers { { { m_options.vm }, { m_options.zone }, m_options.capacity(),
-        m_state.usePercent } };
-    for (const Peer& it : m_board.alive(now, heartbeatKept)) {
+    std::vector<RouterUtilization> routers { { { m_options.vm }, { m_options.zone }, m_options.capacity(),
+        m_state.utilizationPercent } };
+    for (const Peer& it : m_board.alive(now, heartbeatTimeout)) {
         if (m_plan.isDirect || it.zone.value == m_options.zone)
-            routers.push_back({ it.vm, it.zone, it.capacity, it.usePercent });
+            routers.push_back({ it.vm, it.zone, it.capacity, it.utilizationPercent });
     }
-    return sumUse(routers);
+    return summarizeUtilization(routers);
 }
 
-FleetUse Fleet::fleetUse(TimePoint now) const
+FleetUtilization Fleet::fleetUse(TimePoint now) const
 {
     if (!m_plan.isDirect && !m_plan.isRelay) {
         const std::optional<Peer> relay = m_plan.relay ? m_board.find(now, m_plan.relay->vm) : std::nullopt;
-        return relay ? relay->use : FleetUse {};
+        return relay ? relay->use : FleetUtilization {};
     }
-    FleetUse use = ownZoneUse(now);
+    FleetUtilization use = ownZoneUse(now);
     for (const RouterAddress& it : m_plan.relays) {
         if (const std::optional<Peer> relay = m_board.find(now, it.vm))
             add(use, relay->use);
@@ -309,16 +309,16 @@
         load->crashes.clear();
     }
     if (heartbeat->scope == HeartbeatScope::Zone) {
-        m_desk.zoneReported(now, heartbeat->zone, std::move(*load));
+        m_desk.setZoneReport(now, heartbeat->zone, std::move(*load));
         return;
     }
     if (m_plan.isRelay && heartbeat->scope == HeartbeatScope::Router) {
-        m_desk.memberReported(now, heartbeat->vm, std::move(*load));
+        m_desk.setRouterReport(now, heartbeat->vm, std::move(*load));
         return;
     }
     const bool isSum = heartbeat->scope == HeartbeatScope::All;
     // A sum with a report of this router that it no longer remembers would count its requests twice.
-    if (isSum && !m_ownReports.takeOff(*load, heartbeat->includedSerial))
+    if (isSum && !m_ownReports.subtractFrom(*load, heartbeat->includedSerial))
         return;
     const VmId source = isSum ? sumOfOthers : heartbeat->vm;
     m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, source, *load); });
@@ -375,7 +375,7 @@
 std::vector<Peer> Fleet::peers(TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_board.alive(now, heartbeatKept);
+    return m_board.alive(now, heartbeatTimeout);
 }
 
 std::vector<RouterContact> Fleet::contacts(TimePoint now) const
@@ -383,7 +383,7 @@
     std::lock_guard lock(m_mutex);
     std::vector<RouterContact> found;
     if (m_plan.isDirect) {
-        for (const Peer& it : m_board.alive(now, heartbeatKept))
+        for (const Peer& it : m_board.alive(now, heartbeatTimeout))
             found.push_back({ it.vm, it.controlAddress });
         return found;
     }
@@ -427,7 +427,7 @@
                 add(*relay);
         }
     } else {
-        for (const Peer& it : m_board.alive(now, heartbeatKept))
+        for (const Peer& it : m_board.alive(now, heartbeatTimeout))
             add(it);
     }
     return news::standing({ m_options.vm }, m_options.capacity(), others, times);
@@ -437,30 +437,31 @@
 {
     std::vector<EntryPoint> ready;
     if (m_state.canServe())
-        ready.push_back({ m_options.callersListen, { m_options.zone }, m_options.capacity(), m_state.usePercent });
+        ready.push_back(
+            { m_options.callersListen, { m_options.zone }, m_options.capacity(), m_state.utilizationPercent });
     std::lock_guard lock(m_mutex);
     if (m_plan.isDirect) {
-        for (const Peer& it : m_board.alive(now, heartbeatKept)) {
+        for (const Peer& it : m_board.alive(now, heartbeatTimeout)) {
             if (it.isReady)
-                ready.push_back({ it.callerAddress, it.zone, it.capacity, it.usePercent });
+                ready.push_back({ it.callerAddress, it.zone, it.capacity, it.utilizationPercent });
         }
         return chooseEntryPoints(ready, callerZone, callerKey);
     }
     // Not all send heartbeats here. Gossip knows who lives, somewhat later, and who has a configuration.
-    const FleetUse use = fleetUse(now);
-    const auto usePercent = [&](const membership::MemberSummary& it) {
-        const auto own = use.crowded.find(it.life.vm);
-        if (own != use.crowded.end())
+    const FleetUtilization use = fleetUse(now);
+    const auto utilizationPercent = [&](const membership::MemberSummary& it) {
+        const auto own = use.busyRouters.find(it.life.vm);
+        if (own != use.busyRouters.end())
             return own->second;
         const auto zone = use.zones.find(it.zone);
-        return zone == use.zones.end() ? 0 : std::min(zone->second, crowdedPercent);
+        return zone == use.zones.end() ? 0 : std::min(zone->second, highUtilizationPercent);
     };
     for (const membership::Member& it : m_gossip->view().members) {
         const membership::MemberSummary& summary = it.summary;
         const bool isReady
             = it.state == membership::MemberState::Alive && !summary.draining && summary.configOffset > 0;
         if (isReady && summary.life.vm.value != m_options.vm)
-            ready.push_back({ summary.callerAddress, summary.zone, summary.capacity, usePercent(summary) });
+            ready.push_back({ summary.callerAddress, summary.zone, summary.capacity, utilizationPercent(summary) });
     }
     return chooseEntryPoints(ready, callerZone, callerKey);
 }
@@ -468,7 +469,7 @@
 std::uint32_t Fleet::meanUsePercent(TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    const FleetUse use = fleetUse(now);
+    const FleetUtilization use = fleetUse(now);
     std::uint32_t sum = 0;
     for (const auto& [zone, percent] : use.zones)
         sum += percent;
--- a/apps/sagechute-edge/Fleet.h
+++ b/apps/sagechute-edge/Fleet.h
@@ -63,14 +63,14 @@
     Heartbeat heartbeat(HeartbeatScope) const;
 
     /// @return a heartbeat with a load, for any number of receivers.
-    std::string report(HeartbeatScope, FleetUse, const dispatch::LoadReport&) const;
+    std::string report(HeartbeatScope, FleetUtilization, const dispatch::LoadReport&) const;
     void send(const RouterAddress&, std::uint64_t includedSerial, std::string_view shared);
     void sendOwn(TimePoint now);
     void sendSums(TimePoint now, const dispatch::LoadReport& own);
-    FleetUse ownZoneUse(TimePoint now) const;
+    FleetUtilization ownZoneUse(TimePoint now) const;
 
     /// @return how much of their cores routers need, as far as it is known here.
-    FleetUse fleetUse(TimePoint now) const;
+    FleetUtilization fleetUse(TimePoint now) const;
     void updatePlan();
     void sendGossip(const std::vector<membership::Datagram>&);
     void sendHeartbeats(TimePoint now);
@@ -85,7 +85,7 @@
     Incarnation m_incarnation = 0;
     Incarnation m_step;
     std::unique_ptr<membership::Gossip> m_gossip;
-    PeerBoard m_board;
+    PeerTable m_board;
 
     /// How long heartbeats of one life of a router take.
     struct Transit {
@@ -94,9 +94,9 @@
     };
     std::map<VmId, Transit> m_transit;
     ReportPlan m_plan;
-    RelayDesk m_desk;
-    std::set<std::string> m_lateReports; ///< See RelayDesk::late(); as logged.
-    OwnReports m_ownReports;
+    LoadReportAggregator m_desk;
+    std::set<std::string> m_lateReports; ///< See LoadReportAggregator::staleSources(); as logged.
+    SentReports m_ownReports;
     std::uint64_t m_loggedView = 0;
     std::map<VmId, membership::MemberState> m_loggedStates;
     TimePoint m_nextHeartbeat {};
--- a/apps/sagechute-edge/Front.cpp
+++ b/apps/sagechute-edge/Front.cpp
@@ -38,7 +38,7 @@
 
 std::optional<Front::Verdict> Front::accept(const net::ServerRequest& request, RelayOrder& order)
 {
-    absl::StatusOr<CallerFacts> facts = m_tools.callers.decode(request);
+    absl::StatusOr<CallerInfo> facts = m_tools.callers.decode(request);
     if (!facts.ok())
         return Verdict { badRequest, "bad-request", std::nullopt };
     order.facts = std::move(*facts);
@@ -61,7 +61,7 @@
         return Verdict { badRequest, "no-request-id", std::nullopt };
     if (request.body.size() > order.table->config().limits.bodyBytes)
         return Verdict { tooLarge, "body-too-large", std::nullopt };
-    if (!m_crowd.takes(order.arrived, order.customer)) {
+    if (!m_crowd.admit(order.arrived, order.customer)) {
         ++m_tools.state.requestsCrowdedOut;
         m_tools.state.withDispatcher(
             [&](dispatch::Dispatcher& it) { it.turnedAway(order.arrived, order.customer, order.facts.prompt); });
@@ -77,7 +77,7 @@
 
 Front::Verdict Front::denied(int status, std::string_view reason) const
 {
-    const Denial denial = denialOf(status, m_tools.state.isKnowledgeLate);
+    const Denial denial = denialOf(status, m_tools.state.isKnowledgeStale);
     return { denial.status, denial.comeBack ? "configuration-may-be-old" : reason, denial.comeBack };
 }
 
--- a/apps/sagechute-edge/Front.h
+++ b/apps/sagechute-edge/Front.h
@@ -7,7 +7,7 @@
 /// Takes callers' requests: finds route, customer and service, and hands them to a relay.
 class Front {
 public:
-    Front(const RelayTools& tools, CrowdMeter& crowd)
+    Front(const RelayTools& tools, AdaptiveRateLimiter& crowd)
         : m_tools(tools)
         , m_crowd(crowd)
     {
@@ -29,7 +29,7 @@
     void reject(net::ServerExchange&, const RelayOrder&, const Verdict&) const;
 
     const RelayTools m_tools;
-    CrowdMeter& m_crowd;
+    AdaptiveRateLimiter& m_crowd;
 };
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/Housekeeping.cpp
+++ b/apps/sagechute-edge/Housekeeping.cpp
@@ -118,7 +118,7 @@
         fleet.tick(now);
         if (state.activeRequests > 0)
             quietSince = now;
-        if (isTaking && now - begin >= times.stopTaking) {
+        if (isTaking && now - begin >= times.stopAccepting) {
             state.isRefusing = true;
             listeners.stopTakingCallers();
             isTaking = false;
--- a/apps/sagechute-edge/Listeners.cpp
+++ b/apps/sagechute-edge/Listeners.cpp
@@ -105,13 +105,13 @@
         m_tools.state.piecesRelayed };
     const TimePoint now = steadyNow();
     m_tools.crowd.measure(now, work, m_callers->openConnections());
-    m_tools.state.isCrowded = m_tools.crowd.isCrowded();
-    m_tools.state.usePercent = m_tools.crowd.usePercent();
+    m_tools.state.shouldShedConnections = m_tools.crowd.shouldShedConnections();
+    m_tools.state.utilizationPercent = m_tools.crowd.utilizationPercent();
     const bool wasOpen = m_readinessGate.isOpen();
-    m_readinessGate.measure(now, m_tools.crowd.usePercent(), m_tools.fleet.meanUsePercent(now));
+    m_readinessGate.measure(now, m_tools.crowd.utilizationPercent(), m_tools.fleet.meanUsePercent(now));
     if (m_readinessGate.isOpen() != wasOpen)
         process::log(process::LogLevel::Warning, wasOpen ? "not-ready-for-load" : "ready-again",
-            { { "use-percent", std::to_string(m_tools.crowd.usePercent()) },
+            { { "use-percent", std::to_string(m_tools.crowd.utilizationPercent()) },
                 { "fleet-percent", std::to_string(m_tools.fleet.meanUsePercent(now)) } });
 }
 
@@ -139,7 +139,7 @@
     if (addresses.empty())
         exchange.respond(plain(unavailable, "no router is ready\n"));
     else
-        exchange.respond(m_tools.entry.locateAnswer(addresses, kept));
+        exchange.respond(m_tools.entry.locateResponse(addresses, kept));
 }
 
 nlohmann::json Listeners::status() const
@@ -156,7 +156,7 @@
     const news::ToldKnowledge told = m_tools.state.told();
     return { { "vm", m_tools.state.vm.value }, { "configVersion", m_tools.state.configVersion() },
         { "canServe", m_tools.state.canServe() }, { "readyForLoad", m_readinessGate.isOpen() },
-        { "usePercent", m_tools.state.usePercent.load() }, { "configAgeMs", ageMs(told.configAge) },
+        { "usePercent", m_tools.state.utilizationPercent.load() }, { "configAgeMs", ageMs(told.configAge) },
         { "targetsAgeMs", ageMs(told.targetsAge) }, { "readAgeMs", ageMs(told.readAge) },
         { "activeRequests", m_tools.state.activeRequests.load() }, { "droppedLogLines", process::droppedLogLines() },
         { "targets", std::move(targets) }, { "peers", std::move(peers) } };
--- a/apps/sagechute-edge/Listeners.h
+++ b/apps/sagechute-edge/Listeners.h
@@ -11,7 +11,7 @@
     EdgeState& state;
     Fleet& fleet;
     Front& front;
-    CrowdMeter& crowd;
+    AdaptiveRateLimiter& crowd;
     const EntryProtocol& entry;
     process::Metrics& metrics;
     net::EventLoop& loop; ///< Drives all listeners.
--- a/apps/sagechute-edge/PeerFollower.cpp
+++ b/apps/sagechute-edge/PeerFollower.cpp
@@ -178,7 +178,7 @@
     const Duration age = now - until.value_or(m_startedAt);
     m_metrics.knowledgeAge(age, m_times.bound);
     const bool isLate = age > m_times.bound;
-    if (m_state.isKnowledgeLate.exchange(isLate) == isLate)
+    if (m_state.isKnowledgeStale.exchange(isLate) == isLate)
         return;
     const news::ReadStanding standing = m_fleet.readStanding(m_times);
     process::log(isLate ? process::LogLevel::Warning : process::LogLevel::Info,
--- a/apps/sagechute-edge/Relay.cpp
+++ b/apps/sagechute-edge/Relay.cpp
@@ -39,7 +39,7 @@
             { order.customer, request.method, order.facts.host, request.rawTarget, request.body });
     }
 
-    relay::RequestFacts factsOf(const RelayOrder& order, quarantine::RequestKey key)
+    relay::RequestInfo factsOf(const RelayOrder& order, quarantine::RequestKey key)
     {
         return { order.facts.id, order.route, order.service, order.customer, order.facts.prompt,
             order.exchange->request().body.size(), order.arrived, dueOf(order), key };
@@ -144,7 +144,7 @@
 
 void Relay::onHead(unsigned number, int status, const std::vector<net::Field>& fields)
 {
-    TargetAnswerHead head = m_tools.targets.decodeHead(status, fields);
+    TargetResponseHead head = m_tools.targets.decodeHead(status, fields);
     handle([&](relay::RequestFlow& flow, TimePoint now) { flow.head(now, number, std::move(head)); });
 }
 
@@ -169,17 +169,17 @@
 }
 
 void Relay::attemptEnded(
-    TimePoint now, dispatch::AttemptId attempt, dispatch::AttemptEnd end, const relay::AnswerEnd& answerEnd)
+    TimePoint now, dispatch::AttemptId attempt, dispatch::AttemptEnd end, const relay::ResponseEnd& responseEnd)
 {
     m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { it.ended(now, attempt, end); });
     m_tools.metrics.attempt(end);
-    m_tools.metrics.answerEnded(answerEnd);
+    m_tools.metrics.answerEnded(responseEnd);
 }
 
-void Relay::targetSaid(TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
+void Relay::onTargetSignals(TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
 {
-    m_tools.metrics.targetSaid(signals);
-    const dispatch::TargetSignals unknown = m_tools.state.targetSaid(now, target, signals);
+    m_tools.metrics.onTargetSignals(signals);
+    const dispatch::TargetSignals unknown = m_tools.state.onTargetSignals(now, target, signals);
     if (unknown.isDraining)
         process::log(process::LogLevel::Info, "target-draining",
             { { "target", toString(target) }, { "source", "answer" }, { "request", m_order.facts.id } });
@@ -194,10 +194,10 @@
     return m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.giveUp(now, service); });
 }
 
-void Relay::send(const relay::AttemptOrder& order)
+void Relay::send(const relay::OutgoingAttempt& order)
 {
     net::ClientRequest request = m_tools.targets.encode(
-        { &m_order.exchange->request(), &order.placement.target, m_order.customer, order.left, order.resumeAfter });
+        { &m_order.exchange->request(), &order.placement.target, m_order.customer, order.timeLeft, order.resumeAfter });
     request.connectTimeout = connectTimeout;
     request.unackedTimeout = unackedTimeout;
     request.sendOnce = true;
@@ -215,7 +215,7 @@
 
 void Relay::startStream(int status, const std::vector<net::Field>& relayed)
 {
-    m_tools.metrics.firstEvent(m_flow.record().firstEventAfter, m_flow.record().firstEventError);
+    m_tools.metrics.firstEvent(m_flow.record().firstEventLatency, m_flow.record().firstEventPredictionError);
     std::vector<net::Field> fields = relayed;
     closeIfWanted(fields);
     m_order.exchange->startStream(status, std::move(fields));
@@ -231,7 +231,7 @@
 
 void Relay::abort() { m_order.exchange->abort(); }
 
-void Relay::respond(const TargetAnswerHead& head, std::string body)
+void Relay::respond(const TargetResponseHead& head, std::string body)
 {
     sendAnswer({ head.status, head.relayed, std::move(body) });
 }
@@ -266,7 +266,7 @@
             { "service", m_order.service.value }, { "config", std::to_string(m_order.table->config().version) },
             { "status", std::to_string(record.status) }, { "outcome", record.outcome },
             { "attempts", record.trace.empty() ? "none" : record.trace.substr(1) }, { "ms", milliseconds(lasted) },
-            { "first-ms", milliseconds(record.firstEventAfter) },
+            { "first-ms", milliseconds(record.firstEventLatency) },
             { "predicted-ms", milliseconds(record.placement.predictedFirst) },
             { "read-tokens", std::to_string(record.placement.tokensToRead) },
             { "prompt-tokens", std::to_string(m_order.facts.prompt.tokensIn) },
--- a/apps/sagechute-edge/Relay.h
+++ b/apps/sagechute-edge/Relay.h
@@ -24,7 +24,7 @@
 /// A request whose route, customer and service are known.
 struct RelayOrder {
     std::shared_ptr<net::ServerExchange> exchange;
-    CallerFacts facts;
+    CallerInfo facts;
     std::shared_ptr<const dispatch::RoutingTable> table; ///< The one that it was accepted under keeps its route alive.
     const dispatch::Route* route = nullptr;
     ServiceId service;
@@ -36,7 +36,7 @@
 ///
 /// Its events come from three threads: the server's (the caller leaves), the client's (the answer) and the timers'. One
 /// mutex makes them sequential; none of the calls made under it waits.
-class Relay : public std::enable_shared_from_this<Relay>, private relay::FlowPort {
+class Relay : public std::enable_shared_from_this<Relay>, private relay::RequestFlowDelegate {
 public:
     static void start(const RelayTools&, RelayOrder);
 
@@ -56,16 +56,16 @@
 private:
     dispatch::Decision place(TimePoint now, const dispatch::Demand&, dispatch::Round) override;
     void firstAnswer(TimePoint now, dispatch::AttemptId) override;
-    void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const relay::AnswerEnd&) override;
-    void targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) override;
+    void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const relay::ResponseEnd&) override;
+    void onTargetSignals(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) override;
     dispatch::Refusal giveUp(TimePoint now, const ServiceId&) override;
-    void send(const relay::AttemptOrder&) override;
+    void send(const relay::OutgoingAttempt&) override;
     void cancel() override;
     void startStream(int status, const std::vector<net::Field>&) override;
     void write(std::string_view) override;
     void finish() override;
     void abort() override;
-    void respond(const TargetAnswerHead&, std::string body) override;
+    void respond(const TargetResponseHead&, std::string body) override;
     void refuse(int status, std::string_view reason, std::optional<Duration> comeBack) override;
 
     void begin();
--- a/apps/sagechute-edge/main.cpp
+++ b/apps/sagechute-edge/main.cpp
@@ -68,7 +68,7 @@
         auto fleet = Fleet::make(state, inbox, options, incarnation);
         if (!fleet.ok())
             return failStart(fleet.status());
-        CrowdMeter crowd(options.cores(), options.mostCallerConnections());
+        AdaptiveRateLimiter crowd(options.cores(), options.mostCallerConnections());
         Front front({ state, **targetClient, *callerProtocol, *targetProtocol, timers, edgeMetrics }, crowd);
         auto listeners = Listeners::make(options, { state, **fleet, front, crowd, *entryProtocol, metrics, **loop });
         if (!listeners.ok())
--- a/include/sagechute/Dispatch.h
+++ b/include/sagechute/Dispatch.h
@@ -331,7 +331,7 @@
     std::map<TargetKey, TargetUse> targets;
     std::map<CustomerId, CustomerUse> customers;
     std::map<TargetKey, PlacedPrompts> placed; ///< Since the report before the last: each is told twice.
-    std::set<quarantine::CrashRecord> crashes; ///< See quarantine::CrashLedger::tell().
+    std::set<quarantine::CrashRecord> crashes; ///< See quarantine::CrashRecordSet::tell().
 };
 
 /// Adds what another router, or a sum of several, has in flight.
--- a/include/sagechute/Quarantine.h
+++ b/include/sagechute/Quarantine.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// Requests that crash the targets that run them: which targets ended while running what, as all routers know it
-/// together, and which requests are therefore run no more. Decision logic without sockets, threads or clock.
+/// Quarantine of requests that crash the targets that run them: which targets exited while running which requests, as
+/// known to all routers together, and which requests are therefore no longer run. Decision logic without sockets,
+/// threads or a clock.
 
 #include <sagechute/Core.h>
 
@@ -15,10 +16,10 @@
 
 namespace sagechute::quarantine {
 
-/// Names a request by what it asks, whatever the identity of the attempt that carries it.
+/// Identifies a request by its content, independently of the ID of the attempt that carries it.
 using RequestKey = std::uint64_t;
 
-/// What a request asks. Its views are read during the call only.
+/// The content that identifies a request. The views need to be valid during the call only.
 struct RequestContent {
     CustomerId customer; ///< Empty on a public route.
     std::string_view method;
@@ -27,37 +28,38 @@
     std::string_view body;
 };
 
-/// @return a digest of the content. No customer can make a request whose key is that of another's.
+/// @return a digest of the content. A customer cannot construct a request that has the key of another customer's.
 RequestKey requestKeyOf(const RequestContent&);
 
-/// @return 16 hexadecimal digits, as in logs.
+/// @return 16 hexadecimal digits, as used in logs.
 std::string toHex(RequestKey);
 
-/// @return the key that toHex() wrote, or nullopt.
+/// @return the key that toHex() formatted, or nullopt.
 std::optional<RequestKey> requestKeyFromHex(std::string_view);
 
-/// One life of a target in few bytes; see dispatch::keyOf().
+/// Compact identifier of one incarnation of a target; see dispatch::keyOf().
 using TargetKey = std::uint32_t;
 
-/// A target ended while it ran a request, which may be the cause.
+/// States that a target exited while it ran a request, which may be the cause.
 struct CrashRecord {
     RequestKey request = 0;
     TargetKey target = 0;
-    bool isCleared = false; ///< The request has run to its end since, or an operator released it. Never unset.
+    bool isCleared = false; ///< The request has completed since, or an operator released it. Never reset to false.
 
     auto operator<=>(const CrashRecord&) const = default;
 };
 
-/// A request is quarantined when so many targets have ended under it and it has completed on none.
-inline constexpr unsigned quarantineEnds = 3;
+/// A request is quarantined once this many targets have exited while running it and it has completed on none.
+inline constexpr unsigned quarantineThreshold = 3;
 
-// How often a record is told, as datagrams are lost: by the router that established it, and by one that was told.
-inline constexpr unsigned ownTellings = 10;
-inline constexpr unsigned passedOnTellings = 4;
+// How often a record is sent, since datagrams get lost: by the router that created it, and by a router that received
+// it.
+inline constexpr unsigned ownRecordTransmissions = 10;
+inline constexpr unsigned forwardedRecordTransmissions = 4;
 
-// ---- Which targets have ended
+// ---- Detecting target exits
 
-/// A target whose address is to be tried with a connection, without a request.
+/// A target whose address is to be probed by opening a connection, without sending a request.
 struct TargetCheck {
     TargetKey target = 0;
     std::string address; ///< "ADDRESS:PORT".
@@ -65,203 +67,205 @@
 };
 
 enum class CheckResult {
-    Accepted, ///< Something listens there.
-    Refused, ///< The VM answers that nothing does.
+    Accepted, ///< A process listens at the address.
+    Refused, ///< The VM reports that no process listens there.
     NoAnswer,
 };
 
-/// By what the end of a target was recognised.
-enum class EndEvidence {
-    Refused, ///< Its connections broke, and a new one is refused.
-    Replaced, ///< Another life has its address, and it never said that it would leave.
-    EntryGone, ///< Its entry has gone, and it never said that it would leave.
+/// How the exit of a target was detected.
+enum class ExitEvidence {
+    Refused, ///< Its connections broke, and a new connection is refused.
+    Replaced, ///< Another incarnation has its address, and the target had not announced a shutdown.
+    EntryGone, ///< Its entry was removed from the list, and the target had not announced a shutdown.
 };
 
-std::string_view toString(EndEvidence);
+std::string_view toString(ExitEvidence);
 
-/// A target that ended, with the requests that this router had on it.
-struct TargetEnd {
+/// A target that exited, with the requests that this router had in flight on it.
+struct TargetExit {
     TargetKey target = 0;
-    EndEvidence evidence = EndEvidence::Refused;
+    ExitEvidence evidence = ExitEvidence::Refused;
     std::set<RequestKey> requests;
 };
 
-/// Tells the end of a target from attempts that broke for other reasons.
+/// Distinguishes target exits from attempts that broke for other reasons.
 ///
-/// Connections are reset, links are cut and answers are spoiled while the target goes on; none of that says anything
-/// against the request. A target that ended breaks all its attempts and refuses connections, until another life takes
-/// its address.
-class EndDetector {
+/// Connections are reset, links fail and responses are corrupted while the target keeps running; none of this counts
+/// against the request. A target that exited breaks all of its attempts and refuses connections until another
+/// incarnation takes over its address.
+class TargetExitDetector {
 public:
     void sent(TimePoint now, TargetKey, const std::string& address);
 
-    /// An attempt ended otherwise than broken. @param sentAt what sent() was told.
+    /// An attempt ended without breaking. @param sentAt the time that was passed to sent().
     void ended(TimePoint sentAt, TargetKey);
 
-    /// An attempt broke after it may have run. @param isSilent by a time limit: that alone is no reason for a check.
+    /// An attempt broke after it may have run. @param isSilent whether it timed out, which alone does not trigger a
+    /// probe.
     void broke(TimePoint now, TimePoint sentAt, TargetKey, RequestKey, bool isSilent);
 
-    /// @return checks to be made now, each once.
+    /// @return probes to make now; each is returned once.
     std::vector<TargetCheck> checksDue(TimePoint now);
     void checked(TimePoint now, const TargetCheck&, CheckResult);
 
-    // From the list of targets; for one that did not say that it leaves.
+    // Changes in the list of targets. Call them only for a target that had not announced a shutdown.
     void entryGone(TimePoint now, TargetKey);
     void replaced(TimePoint now, TargetKey);
 
-    /// @return targets that may have ended under the request, but are not known to.
+    /// @return how many targets may have exited while running the request, without confirmation so far.
     unsigned undecided(RequestKey) const;
 
-    /// @return ends found since the last call.
-    std::vector<TargetEnd> takeEnds();
+    /// @return exits detected since the last call.
+    std::vector<TargetExit> takeExits();
 
 private:
     struct BrokenAttempt {
         RequestKey request = 0;
         TimePoint at;
         bool isSilent = false;
-        bool isExplained = false; ///< The target took a connection after it.
+        bool isTargetKnownAlive = false; ///< The target accepted a connection afterwards.
     };
 
     struct Watch {
         std::string address;
-        std::multiset<TimePoint> inFlight; ///< When they were sent.
+        std::multiset<TimePoint> inFlight; ///< Send times of the attempts.
         std::vector<BrokenAttempt> broken;
-        std::optional<TimePoint> checkedAt; ///< A check is under way.
+        std::optional<TimePoint> checkStartedAt; ///< Set while a probe is in progress.
         TimePoint nextCheck {};
-        std::optional<TimePoint> endedAt;
+        std::optional<TimePoint> exitedAt;
     };
 
-    void confirm(TimePoint now, TargetKey, Watch&, EndEvidence, bool withExplained);
+    void confirmExit(TimePoint now, TargetKey, Watch&, ExitEvidence, bool includesKnownAlive);
     static void expire(TimePoint now, Watch&);
 
     std::map<TargetKey, Watch> m_watches;
-    std::vector<TargetEnd> m_ends;
+    std::vector<TargetExit> m_exits;
 };
 
-// ---- What all routers know together
+// ---- State shared by all routers
 
-/// A request under which targets have ended.
+/// A request and the targets that exited while running it.
 struct CrashCase {
     RequestKey request = 0;
-    std::vector<TargetKey> targets; ///< Without those that were cleared.
+    std::vector<TargetKey> targets; ///< Without cleared ones.
 
-    bool isQuarantined() const { return targets.size() >= quarantineEnds; }
+    bool isQuarantined() const { return targets.size() >= quarantineThreshold; }
 };
 
-/// The ends of targets by request. Routers merge what they tell each other in any order and any number of times, and
-/// come to the same.
-class CrashLedger {
+/// The crash records by request. Merging is commutative and idempotent, so routers that receive the same records in any
+/// order and any number of times converge to the same state.
+class CrashRecordSet {
 public:
-    /// @param tellings how often to tell the others, if that was not known.
-    void merge(TimePoint now, const CrashRecord&, unsigned tellings);
+    /// @param transmissions how often to send the record to other routers if it is new here.
+    void merge(TimePoint now, const CrashRecord&, unsigned transmissions);
 
-    /// @return targets that ended under the request and were not cleared.
-    unsigned ends(RequestKey) const;
+    /// @return the number of targets that exited while running the request and were not cleared.
+    unsigned exitCount(RequestKey) const;
 
     /// @return the request with its targets that were not cleared.
     CrashCase find(RequestKey) const;
 
-    /// The request is asked for: of quarantined requests those that nobody asks for are forgotten first.
-    void asked(TimePoint now, RequestKey);
+    /// Notes that the request was received again. The quarantined requests evicted first are those not received for
+    /// longest.
+    void markRequested(TimePoint now, RequestKey);
 
-    /// @return what this has cleared.
+    /// @return the records that this call cleared.
     std::vector<CrashRecord> clear(RequestKey);
 
-    /// @return what to tell the others next: what is new, and in turn all that a router which has just started must
-    /// know.
-    std::vector<CrashRecord> tell();
+    /// @return the records to send next: new ones, and in rotation all that a router which has just started needs.
+    std::vector<CrashRecord> recordsToSend();
 
-    /// @return all requests under which targets ended, those with the most ends first.
+    /// @return all requests during which targets exited, in descending order of exits.
     std::vector<CrashCase> cases() const;
 
 private:
     using RecordId = std::pair<RequestKey, TargetKey>;
 
     struct Entry {
-        std::map<TargetKey, bool> targets; ///< To whether it was cleared.
-        unsigned ends = 0;
-        TimePoint lastAsked;
+        std::map<TargetKey, bool> targets; ///< Maps to whether the record was cleared.
+        unsigned exitCount = 0;
+        TimePoint lastRequestedAt;
     };
 
-    void makeRoom();
-    void forgetCleared(Entry&, RequestKey);
+    void evictIfFull();
+    void dropClearedTargets(Entry&, RequestKey);
 
     std::map<RequestKey, Entry> m_entries;
-    std::map<RecordId, unsigned> m_fresh; ///< To how often it is still to be told.
-    RecordId m_lastFresh {};
-    RecordId m_lastTold {};
+    std::map<RecordId, unsigned> m_pendingSends; ///< Maps to the number of transmissions left.
+    RecordId m_lastPendingSent {};
+    RecordId m_lastRepeated {};
 };
 
-// ---- One router's part
+// ---- The local router
 
-/// How a request may be treated.
+/// Whether a request may be run.
 enum class Standing {
     Clear,
-    Undecided, ///< Whether the last target that it needs for a quarantine has ended is not known yet.
+    Undecided, ///< It would be quarantined if one more suspected exit were confirmed.
     Quarantined,
 };
 
-/// What has become known, for logs and for the store.
-struct CrashNews {
-    std::vector<TargetEnd> ends; ///< Seen by this router.
+/// What has changed, for logs and for the store.
+struct QuarantineUpdate {
+    std::vector<TargetExit> targetExits; ///< Detected by this router.
     std::vector<CrashCase> quarantined;
     std::vector<RequestKey> released;
-    std::vector<CrashRecord> own; ///< Established by this router.
+    std::vector<CrashRecord> ownRecords; ///< Created by this router.
 };
 
 /// Keeps requests that crash targets away from them.
 ///
-/// Failure pattern: a request ends the process that begins to run it. Its caller sends it again, each time under
-/// another id and at any router, and each time a target and all that it was running are lost. No router sees more than
-/// some of it, and the innocent requests beside it look the same when a target ends: they are told apart as they
-/// complete elsewhere.
+/// Failure pattern: a request crashes the process that starts to run it. Its caller retries it, each time with another
+/// ID and at any router, and each retry takes down a target with everything that it was running. Each router sees only
+/// some of the crashes, and at the time of a crash the innocent requests on the same target look the same: they are
+/// told apart because they complete elsewhere.
 class CrashGuard {
 public:
-    /// To be asked before every attempt: a verdict may come while a request waits for its next.
+    /// Must be checked before every attempt, since a request can be quarantined while it waits for its next one.
     Standing standing(TimePoint now, RequestKey);
 
     void sent(TimePoint now, TargetKey target, const std::string& address) { m_detector.sent(now, target, address); }
 
-    /// An attempt completed: its target has survived it.
+    /// An attempt completed: the target survived the request.
     void completed(TimePoint sentAt, TargetKey, RequestKey);
     void broke(TimePoint now, TimePoint sentAt, TargetKey, RequestKey, bool isSilent);
 
     /// An attempt ended in a way that says nothing about the request.
     void ended(TimePoint sentAt, TargetKey target) { m_detector.ended(sentAt, target); }
 
-    // See EndDetector.
+    // See TargetExitDetector.
     std::vector<TargetCheck> checksDue(TimePoint now) { return m_detector.checksDue(now); }
     void checked(TimePoint now, const TargetCheck&, CheckResult);
     void entryGone(TimePoint now, TargetKey);
     void replaced(TimePoint now, TargetKey);
 
-    /// @return what to tell the other routers with the next report.
-    std::vector<CrashRecord> tell() { return m_ledger.tell(); }
+    /// @return the records to send to the other routers with the next report.
+    std::vector<CrashRecord> recordsToSend() { return m_records.recordsToSend(); }
 
-    /// Takes what another router or the store knows. @param records any range of CrashRecord.
+    /// Merges records from another router or from the store. @param records any range of CrashRecord.
     template <typename Records> void learn(TimePoint now, const Records& records)
     {
         for (const CrashRecord& it : records)
-            merge(now, it, passedOnTellings);
+            merge(now, it, forwardedRecordTransmissions);
     }
 
-    /// An operator takes a quarantine back, or what leads to one. @return whether there was anything to take back.
+    /// Releases a request from quarantine, or clears its records before it is quarantined, for an operator. @return
+    /// whether there was anything to clear.
     bool release(RequestKey request) { return clear(request); }
 
-    std::vector<CrashCase> cases() const { return m_ledger.cases(); }
+    std::vector<CrashCase> cases() const { return m_records.cases(); }
 
-    /// @return what has become known since the last call.
-    CrashNews takeNews();
+    /// @return the changes since the last call.
+    QuarantineUpdate takeUpdate();
 
 private:
-    void takeEnds(TimePoint now);
-    void merge(TimePoint now, const CrashRecord&, unsigned tellings);
+    void takeExits(TimePoint now);
+    void merge(TimePoint now, const CrashRecord&, unsigned transmissions);
     bool clear(RequestKey);
 
-    EndDetector m_detector;
-    CrashLedger m_ledger;
-    CrashNews m_news;
+    TargetExitDetector m_detector;
+    CrashRecordSet m_records;
+    QuarantineUpdate m_update;
 };
 
 } // namespace sagechute::quarantine
--- a/include/sagechute/Relay.h
+++ b/include/sagechute/Relay.h
@@ -1,66 +1,66 @@
 #pragma once
 
 /// @file
-/// One caller's request at an edge router, from its arrival to the end of its answer: which attempts are made, what of
-/// their answers goes to the caller, and when it is given up. Decision logic without sockets, threads or clock: events
-/// and the time come in, calls on a port go out.
+/// The lifecycle of one caller's request at an edge router, from its arrival to the end of the response: which attempts
+/// are made, which response bytes are forwarded to the caller, and when the request fails. Decision logic without
+/// sockets, threads or a clock: events and the current time are passed in, and actions are calls on a delegate.
 
 #include <sagechute/Edge.h>
 
 namespace sagechute::relay {
 
-/// A request whose route, customer and service are known.
-struct RequestFacts {
-    std::string id; ///< Targets echo it in their answers.
-    const dispatch::Route* route = nullptr; ///< Outlives the flow.
+/// A request whose route, customer and service have been resolved.
+struct RequestInfo {
+    std::string id; ///< Targets echo it in their responses.
+    const dispatch::Route* route = nullptr; ///< Must outlive the flow.
     ServiceId service;
     CustomerId customer;
     dispatch::PromptSize prompt;
     std::size_t bytes = 0;
     TimePoint arrived;
-    TimePoint due; ///< The caller or the route waits no longer.
+    TimePoint deadline; ///< When the caller's deadline or the route's timeout expires.
     quarantine::RequestKey key = 0; ///< See quarantine::requestKeyOf().
 };
 
-/// An attempt to be sent.
-struct AttemptOrder {
-    unsigned number = 0; ///< Names the attempt in later events: an old one may still speak after a new one began.
+/// An attempt to send to a target.
+struct OutgoingAttempt {
+    unsigned number = 0; ///< Identifies the attempt in later events: events of a replaced attempt may still arrive.
     dispatch::Placement placement;
-    Duration left {}; ///< Until nobody waits for the answer any more.
-    std::string resumeAfter; ///< Identity of the last event that the caller has; empty: from the beginning.
+    Duration timeLeft {}; ///< Until the request's deadline.
+    std::string resumeAfter; ///< ID of the last event that the caller has received; empty: start from the beginning.
 };
 
-/// What ended an attempt's answer, as far as its bytes tell.
-struct AnswerEnd {
+/// How the response to an attempt ended, as far as its bytes show.
+struct ResponseEnd {
     net::TransferEnd transfer = net::TransferEnd::Cancelled;
-    std::size_t cutBytes = 0; ///< Of an event that a stream ends inside of.
-    bool isWithoutEvent = false; ///< A stream that ends before its first whole event.
-    std::string_view unsound; ///< Why it is not passed on though it may have ended; empty: it is.
+    std::size_t truncatedBytes = 0; ///< Bytes of an incomplete event at the end of a stream.
+    bool hasNoEvent = false; ///< The stream ended before its first complete event.
+    std::string_view rejectReason; ///< Why the response is discarded even if complete; empty: it is forwarded.
 };
 
-/// @return "+closed", "+cut:BYTES" and "+unsound:WHY", each where it is so.
-std::string toString(const AnswerEnd&);
+/// @return the concatenation of "+closed", "+cut:BYTES" and "+unsound:WHY", each only where it applies.
+std::string toString(const ResponseEnd&);
 
-/// What a flow does outside. No call waits; none calls back into the flow.
-class FlowPort {
+/// Actions that a flow asks its owner for. No call may block or call back into the flow.
+class RequestFlowDelegate {
 public:
-    virtual ~FlowPort() = default;
+    virtual ~RequestFlowDelegate() = default;
 
-    // Towards the decisions on all requests.
+    // Placement and load accounting, shared by all requests.
     virtual dispatch::Decision place(TimePoint now, const dispatch::Demand&, dispatch::Round) = 0;
     virtual void firstAnswer(TimePoint now, dispatch::AttemptId) = 0;
-    virtual void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const AnswerEnd&) = 0;
+    virtual void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const ResponseEnd&) = 0;
 
-    /// A target said something of itself, whether or not its answer is of use.
-    virtual void targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) = 0;
+    /// A target reported signals about itself, whether or not its response is usable.
+    virtual void onTargetSignals(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) = 0;
 
-    /// @return how a request is turned away that was offered to as many targets as it may be.
+    /// @return the refusal for a request that has used up its attempts.
     virtual dispatch::Refusal giveUp(TimePoint now, const ServiceId&) = 0;
 
     // Towards the target.
-    virtual void send(const AttemptOrder&) = 0;
+    virtual void send(const OutgoingAttempt&) = 0;
 
-    /// Ends the attempt that was sent last. What it still says may or may not come.
+    /// Cancels the attempt that was sent last. Events that are already under way may still arrive.
     virtual void cancel() = 0;
 
     // Towards the caller.
@@ -68,59 +68,59 @@
     virtual void write(std::string_view) = 0;
     virtual void finish() = 0;
 
-    /// Closes the caller's connection so that the answer looks as incomplete as it is.
+    /// Closes the caller's connection without ending the response, so that the caller can tell that it is incomplete.
     virtual void abort() = 0;
-    virtual void respond(const edge::TargetAnswerHead&, std::string body) = 0;
+    virtual void respond(const edge::TargetResponseHead&, std::string body) = 0;
 
-    /// An answer of the router's own. @param comeBack when to send the request again; absent: no such promise.
+    /// Sends a response of the router's own. @param comeBack when the caller may retry; absent: no such promise.
     virtual void refuse(int status, std::string_view reason, std::optional<Duration> comeBack) = 0;
 };
 
-/// The rules that a flow keeps, each replaceable by a test that shows what it prevents.
+/// The rules that a flow applies. Tests replace them one by one to show which failure each rule prevents.
 struct FlowRules {
-    /// What follows an attempt.
+    /// Decides what follows an attempt.
     dispatch::NextStep (*next)(const dispatch::AttemptFacts&) = dispatch::nextStep;
 
-    /// @return whether an answer's head is the target's to this request. A late extra answer to an earlier request may
-    /// lie on a kept connection.
-    bool (*isAnswerTo)(const edge::TargetAnswerHead&, const std::string& requestId) = nullptr;
+    /// @return whether a response head belongs to this request. A kept-alive connection may still hold a late duplicate
+    /// response to an earlier request.
+    bool (*isResponseTo)(const edge::TargetResponseHead&, const std::string& requestId) = nullptr;
 
-    /// @return how an attempt ended, by its answer's head and end.
-    dispatch::AttemptEnd (*judge)(const AnswerEnd&, const std::optional<edge::TargetAnswerHead>&) = nullptr;
+    /// @return how an attempt ended, from its response's head and end.
+    dispatch::AttemptEnd (*classify)(const ResponseEnd&, const std::optional<edge::TargetResponseHead>&) = nullptr;
 
     static FlowRules standard();
 };
 
-/// How a request ended, for logs and metrics.
+/// The outcome of a request, for logs and metrics.
 struct FlowRecord {
-    int status = 0; ///< That the caller got; 499 where it left before.
+    int status = 0; ///< Sent to the caller; 499 if the caller disconnected first.
     std::string outcome;
-    std::string trace; ///< Attempts and their ends, separated by spaces.
-    Duration firstEventAfter {};
-    Duration firstEventError {}; ///< Seen against predicted.
-    dispatch::Placement placement; ///< The last one.
-    dispatch::Refusal refusal; ///< The last one.
-    bool isRefused = false; ///< The last decision was a refusal.
+    std::string trace; ///< Attempts and how they ended, separated by spaces.
+    Duration firstEventLatency {};
+    Duration firstEventPredictionError {}; ///< Observed minus predicted.
+    dispatch::Placement placement; ///< Of the last attempt.
+    dispatch::Refusal refusal; ///< The most recent one.
+    bool isRefused = false; ///< Whether the last placement decision was a refusal.
 };
 
-/// The flow of one request. Not thread-safe.
+/// State machine of one request. Not thread-safe.
 class RequestFlow {
 public:
-    RequestFlow(FlowPort&, RequestFacts, const FlowRules& = FlowRules::standard());
+    RequestFlow(RequestFlowDelegate&, RequestInfo, const FlowRules& = FlowRules::standard());
 
     void begin(TimePoint now);
 
-    // Of the attempt with that number.
-    void head(TimePoint now, unsigned number, edge::TargetAnswerHead);
+    // Events of the attempt with that number.
+    void head(TimePoint now, unsigned number, edge::TargetResponseHead);
     void bytes(TimePoint now, unsigned number, std::string_view);
     void ended(TimePoint now, unsigned number, net::TransferEnd);
 
-    /// The attempt was not sent, as its target takes no requests any more.
+    /// The attempt was not sent, because its target stopped accepting requests.
     void withdrawn(TimePoint now, unsigned number);
 
     void callerGone(TimePoint now);
 
-    /// To be called at nextWake() or later.
+    /// Handles expired timers. Call it at nextWake() or later.
     void wake(TimePoint now);
     TimePoint nextWake() const;
 
@@ -133,52 +133,52 @@
 
     void place(TimePoint now, Round);
     void send(TimePoint now, const dispatch::Placement&);
-    void finishAttempt(TimePoint now, AttemptEnd, const AnswerEnd& = {});
-
-    /// Ends the attempt that runs, and goes on unless nobody waits any more.
-    void endAttempt(TimePoint now, AttemptEnd, const AnswerEnd& = {});
-    void passOnSignals(TimePoint now, unsigned number, const dispatch::TargetSignals&);
-    void follow(TimePoint now, AttemptEnd);
-    void cancelAs(TimePoint now, AttemptEnd);
-    void takeStreamBytes(TimePoint now, std::string_view);
+    void finishAttempt(TimePoint now, AttemptEnd, const ResponseEnd& = {});
+
+    /// Records the end of the current attempt, then takes the next step unless the request is already done.
+    void endAttempt(TimePoint now, AttemptEnd, const ResponseEnd& = {});
+    void forwardSignals(TimePoint now, unsigned number, const dispatch::TargetSignals&);
+    void takeNextStep(TimePoint now, AttemptEnd);
+    void cancelAttempt(TimePoint now, AttemptEnd);
+    void processStreamBytes(TimePoint now, std::string_view);
     void startStream(TimePoint now);
     void endStream(TimePoint now);
-    void disown(std::string_view why);
+    void rejectResponse(std::string_view why);
     bool isStreamed() const;
-    bool isResumable() const { return m_facts.route->isResumable && m_mayResume; }
-    AnswerEnd answerEnd(net::TransferEnd) const;
-    bool isOf(unsigned number) const { return !m_done && m_inFlight && number == m_number; }
-    Duration patience(TimePoint now) const;
+    bool isResumable() const { return m_info.route->isResumable && m_mayResume; }
+    ResponseEnd responseEnd(net::TransferEnd) const;
+    bool isCurrentAttempt(unsigned number) const { return !m_done && m_inFlight && number == m_attemptNumber; }
+    Duration responseTimeout(TimePoint now) const;
     void checkSilence(TimePoint now);
-    void relayHeldAnswer();
+    void relaySavedFailure();
     void refuse(const dispatch::Refusal&);
     void fail(int status, std::string_view reason);
     void conclude(int status, std::string_view outcome);
 
-    FlowPort& m_port;
-    const RequestFacts m_facts;
+    RequestFlowDelegate& m_delegate;
+    const RequestInfo m_info;
     const FlowRules m_rules;
     bool m_done = false;
 
-    // The attempt that runs.
-    unsigned m_number = 0;
+    // The current attempt.
+    unsigned m_attemptNumber = 0;
     bool m_inFlight = false;
     TimePoint m_sentAt;
     TimePoint m_lastEventAt;
-    TimePoint m_silenceCheck; ///< When to look whether the target is silent.
-    std::optional<edge::TargetAnswerHead> m_head;
+    TimePoint m_silenceDeadline; ///< When to check whether the target has stopped responding.
+    std::optional<edge::TargetResponseHead> m_head;
     std::string m_body;
-    std::string_view m_unsound; ///< Why nothing more of the answer is passed on; empty: it is.
+    std::string_view m_rejectReason; ///< Why the rest of the response is discarded; empty: it is forwarded.
     std::optional<edge::EventSplitter> m_splitter;
 
-    // Over all attempts.
-    std::vector<dispatch::TargetLife> m_sentTo; ///< By the attempt's number, from 1 on.
-    unsigned m_runs = 0;
+    // Across all attempts.
+    std::vector<dispatch::TargetLife> m_sentTo; ///< Indexed by attempt number minus one.
+    unsigned m_possibleRuns = 0;
     bool m_mayHaveRun = false;
     bool m_hasStarted = false;
     std::string m_lastEventId;
-    bool m_mayResume = true; ///< The caller's last event is known by its identity.
-    std::optional<edge::TargetAnswerHead> m_failedHead; ///< A target's own failure, passed on if nothing better comes.
+    bool m_mayResume = true; ///< The ID of the last event that the caller received is known.
+    std::optional<edge::TargetResponseHead> m_failedHead; ///< A target's error, forwarded if no attempt does better.
     std::string m_failedBody;
     FlowRecord m_record;
 };
--- a/src/dispatch/LocalDispatcher.cpp
+++ b/src/dispatch/LocalDispatcher.cpp
@@ -551,7 +551,7 @@
             report.targets[model->key()] = model->ownUse();
     }
     report.customers = m_shares.own(now);
-    const std::vector<quarantine::CrashRecord> crashes = m_crashes.tell();
+    const std::vector<quarantine::CrashRecord> crashes = m_crashes.recordsToSend();
     report.crashes = { crashes.begin(), crashes.end() };
     report.placed = m_placedBefore;
     for (const auto& [key, placed] : m_placed) {
--- a/src/edge/Denial.cpp
+++ b/src/edge/Denial.cpp
@@ -6,14 +6,14 @@
 
     constexpr int unavailable = 503;
 
-    /// By then another router was asked, or this one has caught up.
-    constexpr Duration lateComeBack = std::chrono::milliseconds(300);
+    /// By then the caller has tried another router, or this one has caught up.
+    constexpr Duration staleRetryAfter = std::chrono::milliseconds(300);
 
 } // namespace
 
-Denial denialOf(int status, bool isKnowledgeLate)
+Denial denialOf(int status, bool isKnowledgeStale)
 {
-    return isKnowledgeLate ? Denial { unavailable, lateComeBack } : Denial { status, std::nullopt };
+    return isKnowledgeStale ? Denial { unavailable, staleRetryAfter } : Denial { status, std::nullopt };
 }
 
 } // namespace sagechute::edge
--- a/src/edge/EventSplitter.cpp
+++ b/src/edge/EventSplitter.cpp
@@ -11,8 +11,8 @@
     constexpr std::string_view idField = "id:";
     constexpr char commentMark = ':';
 
-    /// Keeps a target that never ends an event from filling the router's memory.
-    constexpr std::size_t mostEventBytes = 1 << 20;
+    /// Keeps a target that never ends an event from exhausting the router's memory.
+    constexpr std::size_t maxEventBytes = 1 << 20;
 
     std::optional<std::uint64_t> parseNumber(std::string_view text)
     {
@@ -36,36 +36,36 @@
 
 std::string EventSplitter::feed(std::string_view bytes)
 {
-    std::string whole;
-    if (bytes.empty() || m_isDisordered)
-        return whole;
+    std::string completeEvents;
+    if (bytes.empty() || m_hasInvalidEvent)
+        return completeEvents;
     if (completesLineEnd(bytes)) {
-        // What ended with its CR has been passed on, or waits for the rest of its event.
-        (m_pending.empty() ? whole : m_pending) += '\n';
+        // The line that ended with the CR has been returned already, or is kept with the rest of its event.
+        (m_pending.empty() ? completeEvents : m_pending) += '\n';
         m_lineBegin = m_searched = m_pending.size();
         bytes.remove_prefix(1);
     }
     m_pending += bytes;
-    m_hasCrLast = bytes.ends_with('\r');
-    std::size_t wholeEnd = 0;
+    m_endsWithCr = bytes.ends_with('\r');
+    std::size_t completeEnd = 0;
     for (;;) {
         const std::size_t end = m_pending.find_first_of("\r\n", m_searched);
         if (end == std::string::npos)
             break;
-        const bool isPair = m_pending.compare(end, 2, "\r\n") == 0;
-        const bool isEventEnd = takeLine(end);
-        if (m_isDisordered)
+        const bool isCrLf = m_pending.compare(end, 2, "\r\n") == 0;
+        const bool isEventEnd = parseLine(end);
+        if (m_hasInvalidEvent)
             break;
-        m_lineBegin = m_searched = end + (isPair ? 2 : 1);
+        m_lineBegin = m_searched = end + (isCrLf ? 2 : 1);
         if (isEventEnd)
-            wholeEnd = m_lineBegin;
+            completeEnd = m_lineBegin;
     }
-    whole.append(m_pending, 0, wholeEnd);
-    m_pending.erase(0, wholeEnd);
-    m_lineBegin -= wholeEnd;
+    completeEvents.append(m_pending, 0, completeEnd);
+    m_pending.erase(0, completeEnd);
+    m_lineBegin -= completeEnd;
     m_searched = m_pending.size();
-    m_isDisordered |= m_pending.size() > mostEventBytes;
-    return whole;
+    m_hasInvalidEvent |= m_pending.size() > maxEventBytes;
+    return completeEvents;
 }
 
 bool EventSplitter::isInsideEvent() const
@@ -76,21 +76,21 @@
     return m_partial.hasField || isField(line);
 }
 
-bool EventSplitter::takeLine(std::size_t end)
+bool EventSplitter::parseLine(std::size_t end)
 {
     std::string_view line = std::string_view(m_pending).substr(m_lineBegin, end - m_lineBegin);
     if (std::exchange(m_isFirstLine, false))
         line = withoutByteOrderMark(line);
     if (line.empty()) {
-        takeEvent();
+        finishEvent();
         return true;
     }
     if (isField(line))
-        takeField(line);
+        parseField(line);
     return false;
 }
 
-void EventSplitter::takeField(std::string_view line)
+void EventSplitter::parseField(std::string_view line)
 {
     m_partial.hasField = true;
     m_partial.hasData |= line.substr(0, line.find(':')) == dataField;
@@ -101,22 +101,22 @@
     m_partial.id = line;
 }
 
-void EventSplitter::takeEvent()
+void EventSplitter::finishEvent()
 {
-    const Partial event = std::exchange(m_partial, {});
+    const PartialEvent event = std::exchange(m_partial, {});
     if (event.id) {
         const auto before = parseNumber(m_lastId);
         const auto now = parseNumber(*event.id);
         if (before && now && *now <= *before) {
-            m_isDisordered = true;
-            // What lies between them may be missing before the event that came too early.
-            m_knowsLastEvent &= m_events == 0 || *now == *before;
+            m_hasInvalidEvent = true;
+            // Events between the two IDs may be missing, so the stream cannot be resumed from here.
+            m_canResumeAfterLastId &= m_events == 0 || *now == *before;
             return;
         }
         m_lastId = *event.id;
     }
     if (event.hasData || event.id)
-        m_knowsLastEvent = event.id.has_value();
+        m_canResumeAfterLastId = event.id.has_value();
     m_events += event.hasField ? 1 : 0;
 }
 
--- a/src/edge/Peers.cpp
+++ b/src/edge/Peers.cpp
@@ -12,21 +12,22 @@
 
     using nlohmann::json;
 
-    /// A router is left out of answers when it needs this many times what the others do on the mean, and a few per
-    /// cent more.
-    constexpr double mostOverMean = 2;
-    constexpr double useMargin = 25;
-
-    /// Least number of addresses for a caller: with one alone, its loss would leave the caller without any until it
-    /// asks again.
-    constexpr std::size_t leastAddresses = 2;
-
-    /// Use above crowdedPercent at which routers of other zones are told like those of the caller's own. In between
-    /// they are told to a part of the callers, so that no more leave the zone than must.
-    constexpr double wholeSpill = 40;
-
-    /// Mean use of routers, weighted by their cores.
-    class UseMean {
+    /// A router is left out of answers to callers when its utilization exceeds this multiple of the mean plus a margin
+    /// in percentage points.
+    constexpr double maxUtilizationRatio = 2;
+    constexpr double utilizationMarginPercent = 25;
+
+    /// Minimum number of addresses for a caller: losing its only address would leave a caller without any until it asks
+    /// again.
+    constexpr std::size_t minAddresses = 2;
+
+    /// Utilization above highUtilizationPercent, in percentage points, at which routers of other zones are offered like
+    /// those of the caller's own. Below that only a fraction of the callers gets them, so that no more traffic leaves
+    /// the zone than necessary.
+    constexpr double fullSpillPercent = 40;
+
+    /// Mean utilization of routers, weighted by their cores.
+    class UtilizationMean {
     public:
         void count(std::uint32_t capacity, std::uint32_t percent)
         {
@@ -42,34 +43,34 @@
         double m_sum = 0;
     };
 
-    template <typename Filter> double meanUse(const std::vector<EntryPoint>& routers, Filter&& filter)
+    template <typename Filter> double meanUtilization(const std::vector<EntryPoint>& routers, Filter&& filter)
     {
-        UseMean mean;
+        UtilizationMean mean;
         for (const EntryPoint& it : routers) {
             if (filter(it))
-                mean.count(it.capacity, it.usePercent);
+                mean.count(it.capacity, it.utilizationPercent);
         }
         return mean.percent();
     }
 
-    /// @return the part of callers that are told of routers of other zones, 0 to 1.
-    double spillShare(const std::vector<EntryPoint>& usable, const ZoneId& callerZone)
+    /// @return the fraction of callers, 0 to 1, that are offered routers of other zones.
+    double spillFraction(const std::vector<EntryPoint>& usable, const ZoneId& callerZone)
     {
         const auto isNear = [&](const EntryPoint& it) { return it.zone == callerZone; };
-        if (static_cast<std::size_t>(std::count_if(usable.begin(), usable.end(), isNear)) < leastAddresses)
+        if (static_cast<std::size_t>(std::count_if(usable.begin(), usable.end(), isNear)) < minAddresses)
             return 1;
-        const double all = meanUse(usable, [](const EntryPoint&) { return true; });
-        const double over = meanUse(usable, isNear) - std::max<double>(crowdedPercent, all);
-        return std::clamp(over / wholeSpill, 0.0, 1.0);
+        const double all = meanUtilization(usable, [](const EntryPoint&) { return true; });
+        const double over = meanUtilization(usable, isNear) - std::max<double>(highUtilizationPercent, all);
+        return std::clamp(over / fullSpillPercent, 0.0, 1.0);
     }
 
-    /// A router that may be told to a caller.
-    struct Choice {
+    /// A router that may be offered to a caller.
+    struct Candidate {
         const EntryPoint* router = nullptr;
-        double rank = 0; ///< Differs from caller to caller; at most 1 for those that it is told.
+        double rank = 0; ///< Differs from caller to caller; at most 1 if the router is offered to it.
     };
 
-    /// @return each router's rank for a caller: it is at most 1 for the part of callers that share is.
+    /// @return the router's rank for a caller, which is at most 1 for the given share of callers.
     double rankFor(const EntryPoint& it, double share, std::string_view callerKey)
     {
         const std::uint64_t place = stableHash(it.callerAddress, stableHash(callerKey));
@@ -89,12 +90,12 @@
 
     constexpr unsigned lastScope = static_cast<unsigned>(HeartbeatScope::All);
 
-    // A heartbeat as it is written. Ages and times are in microseconds; an age that is not known is -1.
+    // Wire format of a heartbeat. Ages and times are in microseconds; an unknown age is -1.
     using WireKnowledge
         = std::tuple<std::uint64_t, std::int64_t, std::uint64_t, std::int64_t, std::int64_t, std::int64_t>;
-    using WireUse = std::tuple<std::map<std::string, std::uint32_t>, std::map<std::string, std::uint32_t>>;
+    using WireUtilization = std::tuple<std::map<std::string, std::uint32_t>, std::map<std::string, std::uint32_t>>;
     using WireHead = std::tuple<std::string, Incarnation, std::string, std::string, std::string, bool, WireKnowledge,
-        std::uint32_t, std::uint32_t, unsigned, std::int64_t, WireUse, std::string>;
+        std::uint32_t, std::uint32_t, unsigned, std::int64_t, WireUtilization, std::string>;
 
     std::int64_t toWire(std::optional<Duration> age) { return age ? age->count() : -1; }
 
@@ -125,8 +126,8 @@
         return { it.vm.value, it.incarnation, it.callerAddress, it.controlAddress, it.zone.value, it.isReady,
             { known.configVersion, toWire(known.configAge), known.targetsNext, toWire(known.targetsAge),
                 toWire(known.readAge), toWire(known.targetsFromAge) },
-            it.capacity, it.usePercent, static_cast<unsigned>(it.scope), it.sentAt.time_since_epoch().count(),
-            { toWire(it.use.zones), toWire(it.use.crowded) }, it.load };
+            it.capacity, it.utilizationPercent, static_cast<unsigned>(it.scope), it.sentAt.time_since_epoch().count(),
+            { toWire(it.use.zones), toWire(it.use.busyRouters) }, it.load };
     }
 
     Heartbeat fromWire(WireHead&& wire)
@@ -143,7 +144,7 @@
         it.knowledge = { std::get<0>(known), ageFromWire(std::get<1>(known)), std::get<2>(known),
             ageFromWire(std::get<3>(known)), ageFromWire(std::get<4>(known)), ageFromWire(std::get<5>(known)) };
         it.capacity = capacity;
-        it.usePercent = use;
+        it.utilizationPercent = use;
         it.scope = static_cast<HeartbeatScope>(std::min(scope, lastScope));
         it.sentAt = TimePoint(Duration(sentAt));
         it.use = { fromWire<ZoneId>(std::get<0>(fleetUse)), fromWire<VmId>(std::get<1>(fleetUse)) };
@@ -153,24 +154,24 @@
 
 } // namespace
 
-FleetUse sumUse(const std::vector<RouterUse>& routers)
+FleetUtilization summarizeUtilization(const std::vector<RouterUtilization>& routers)
 {
-    std::map<ZoneId, UseMean> means;
-    FleetUse use;
-    for (const RouterUse& it : routers) {
+    std::map<ZoneId, UtilizationMean> means;
+    FleetUtilization use;
+    for (const RouterUtilization& it : routers) {
         means[it.zone].count(it.capacity, it.percent);
-        if (it.percent > crowdedPercent)
-            use.crowded[it.vm] = it.percent;
+        if (it.percent > highUtilizationPercent)
+            use.busyRouters[it.vm] = it.percent;
     }
     for (const auto& [zone, mean] : means)
         use.zones[zone] = static_cast<std::uint32_t>(mean.percent());
     return use;
 }
 
-void add(FleetUse& sum, const FleetUse& other)
+void add(FleetUtilization& sum, const FleetUtilization& other)
 {
     sum.zones.insert(other.zones.begin(), other.zones.end());
-    sum.crowded.insert(other.crowded.begin(), other.crowded.end());
+    sum.busyRouters.insert(other.busyRouters.begin(), other.busyRouters.end());
 }
 
 nlohmann::json encodeKnowledge(const news::ToldKnowledge& told)
@@ -185,14 +186,14 @@
         decodeAge(item.at(4)), decodeAge(item.at(5)) };
 }
 
-std::string encodeShared(const Heartbeat& heartbeat)
+std::string encodeCommonPart(const Heartbeat& heartbeat)
 {
     msgpack::sbuffer bytes;
     msgpack::pack(bytes, toWire(heartbeat));
     return { bytes.data(), bytes.size() };
 }
 
-std::string addressed(std::uint64_t includedSerial, std::string_view shared)
+std::string withIncludedSerial(std::uint64_t includedSerial, std::string_view shared)
 {
     msgpack::sbuffer bytes;
     msgpack::pack(bytes, includedSerial);
@@ -201,13 +202,16 @@
     return datagram;
 }
 
-std::string encode(const Heartbeat& heartbeat) { return addressed(heartbeat.includedSerial, encodeShared(heartbeat)); }
+std::string encode(const Heartbeat& heartbeat)
+{
+    return withIncludedSerial(heartbeat.includedSerial, encodeCommonPart(heartbeat));
+}
 
 absl::StatusOr<Heartbeat> decodeHeartbeat(std::string_view bytes)
 {
-    const absl::Status malformed = makeError(ErrorKind::BadRequest, "a heartbeat has another form",
-        "run the same release on all routers, and let nothing else send to their ports");
-    // The library says by exceptions what is wrong with the bytes; whatever it is, they are no heartbeat.
+    const absl::Status malformed = makeError(ErrorKind::BadRequest, "malformed heartbeat datagram",
+        "run the same release on all routers and keep other traffic off their UDP ports");
+    // The library reports malformed bytes by exceptions; none of them is a valid heartbeat.
     try {
         std::size_t end = 0;
         const auto serial = dispatch::unpackBounded(bytes, end)->as<std::uint64_t>();
@@ -224,49 +228,52 @@
     }
 }
 
-void PeerBoard::heard(TimePoint now, const Heartbeat& heartbeat)
+void PeerTable::heard(TimePoint now, const Heartbeat& heartbeat)
 {
     m_peers[heartbeat.vm] = Peer { heartbeat, heartbeat.use, now };
 }
 
-std::vector<Peer> PeerBoard::alive(TimePoint now, Duration kept) const
+std::vector<Peer> PeerTable::alive(TimePoint now, Duration maxAge) const
 {
     std::vector<Peer> result;
     for (const auto& [vm, peer] : m_peers) {
-        if (now - peer.heardAt <= kept)
+        if (now - peer.heardAt <= maxAge)
             result.push_back(peer);
     }
     return result;
 }
 
-std::optional<Peer> PeerBoard::find(TimePoint now, const VmId& vm) const
+std::optional<Peer> PeerTable::find(TimePoint now, const VmId& vm) const
 {
     const auto it = m_peers.find(vm);
-    return it != m_peers.end() && now - it->second.heardAt <= heartbeatKept ? std::optional(it->second) : std::nullopt;
+    return it != m_peers.end() && now - it->second.heardAt <= heartbeatTimeout ? std::optional(it->second)
+                                                                               : std::nullopt;
 }
 
 std::vector<std::string> chooseEntryPoints(
     const std::vector<EntryPoint>& ready, const ZoneId& callerZone, std::string_view callerKey)
 {
-    const double mostUse = mostOverMean * meanUse(ready, [](const EntryPoint&) { return true; }) + useMargin;
+    const double maxUtilization = maxUtilizationRatio * meanUtilization(ready, [](const EntryPoint&) { return true; })
+        + utilizationMarginPercent;
     std::vector<EntryPoint> usable;
     std::copy_if(ready.begin(), ready.end(), std::back_inserter(usable),
-        [&](const EntryPoint& it) { return it.usePercent <= mostUse; });
-    const double spill = spillShare(usable, callerZone);
+        [&](const EntryPoint& it) { return it.utilizationPercent <= maxUtilization; });
+    const double spill = spillFraction(usable, callerZone);
     double largest = 1;
     for (const EntryPoint& it : usable)
         largest = std::max<double>(largest, it.capacity);
-    std::vector<Choice> choices;
+    std::vector<Candidate> candidates;
     for (const EntryPoint& it : usable) {
         const double byCores = it.capacity ? it.capacity / largest : 1;
         const double share = it.zone == callerZone ? byCores : byCores * spill;
         if (share > 0)
-            choices.push_back({ &it, rankFor(it, share, callerKey) });
+            candidates.push_back({ &it, rankFor(it, share, callerKey) });
     }
-    std::sort(choices.begin(), choices.end(), [](const Choice& a, const Choice& b) { return a.rank < b.rank; });
+    std::sort(
+        candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) { return a.rank < b.rank; });
     std::vector<std::string> addresses;
-    for (const Choice& it : choices) {
-        if (it.rank <= 1 || addresses.size() < leastAddresses)
+    for (const Candidate& it : candidates) {
+        if (it.rank <= 1 || addresses.size() < minAddresses)
             addresses.push_back(it.router->callerAddress);
     }
     return addresses;
@@ -274,13 +281,13 @@
 
 StopTimes stopTimes(Duration grace)
 {
-    // The kill comes on time, but the process's own timers may be late by some tens of ms on a busy VM.
+    // SIGKILL comes on time, but the process's own timers may be tens of milliseconds late on a busy VM.
     constexpr Duration endMargin = std::chrono::milliseconds(500);
-    // A stream of these deployments takes up to some five seconds. One that is taken later than this after SIGTERM may
-    // not end before the process does.
-    constexpr double takeShare = 0.35;
+    // A stream in these deployments takes up to about five seconds. One that is accepted later than this after SIGTERM
+    // may not end before the process does.
+    constexpr double acceptFraction = 0.35;
     const Duration end = grace > 2 * endMargin ? grace - endMargin : grace / 2;
-    return { std::chrono::duration_cast<Duration>(takeShare * grace), end };
+    return { std::chrono::duration_cast<Duration>(acceptFraction * grace), end };
 }
 
 } // namespace sagechute::edge
--- a/src/edge/ReportPlan.cpp
+++ b/src/edge/ReportPlan.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-    /// A report that is older says nothing any more. Some intervals of the reports in a large fleet.
-    constexpr Duration reportKept = std::chrono::milliseconds(1200);
+    /// A report older than this, which is several report intervals of a large fleet, is no longer used.
+    constexpr Duration maxReportAge = std::chrono::milliseconds(1200);
 
-    /// What a zone's routers granted stays granted: its customers count for as long as shares are compared over.
-    constexpr Duration customersKept = dispatch::DispatchSettings {}.shareWindow;
+    /// What a zone's routers have granted stays granted: its customers count for as long as the window over which
+    /// shares are compared.
+    constexpr Duration maxCustomersAge = dispatch::DispatchSettings {}.shareWindow;
 
-    /// A sum comes some intervals after the report that is in it; one of a relay with few cores later.
-    constexpr std::size_t rememberedReports = 32;
+    /// A sum arrives some intervals after the report that it includes, and later from a relay with few cores.
+    constexpr std::size_t maxSentReports = 32;
 
     dispatch::LoadReport customersOf(const dispatch::LoadReport& report)
     {
@@ -23,7 +24,7 @@
         return customers;
     }
 
-    bool isBetterRelay(const RouterAddress& one, const RouterAddress& other)
+    bool isPreferredRelay(const RouterAddress& one, const RouterAddress& other)
     {
         return one.capacity != other.capacity ? one.capacity > other.capacity : one.vm < other.vm;
     }
@@ -33,12 +34,12 @@
 ReportPlan planReports(const std::vector<RouterAddress>& alive, const VmId& self)
 {
     ReportPlan plan;
-    plan.isDirect = alive.size() <= mostDirectRouters;
+    plan.isDirect = alive.size() <= maxDirectRouters;
     std::map<ZoneId, const RouterAddress*> relays;
     const RouterAddress* own = nullptr;
     for (const RouterAddress& it : alive) {
         const RouterAddress*& relay = relays[it.zone];
-        if (!relay || isBetterRelay(it, *relay))
+        if (!relay || isPreferredRelay(it, *relay))
             relay = &it;
         if (it.vm == self)
             own = &it;
@@ -63,88 +64,88 @@
     return plan;
 }
 
-void RelayDesk::memberReported(TimePoint now, const VmId& vm, dispatch::LoadReport report)
+void LoadReportAggregator::setRouterReport(TimePoint now, const VmId& vm, dispatch::LoadReport report)
 {
-    // Prefixes that have not been passed on yet are kept: each is told in few reports.
-    Part& part = m_members[vm];
-    for (const auto& [target, placed] : part.report.placed) {
+    // Prefixes that have not been forwarded yet are kept, since each is sent in a few reports only.
+    TimedReport& timedReport = m_members[vm];
+    for (const auto& [target, placed] : timedReport.report.placed) {
         dispatch::PlacedPrompts& told = report.placed[target];
         told.shared.insert(placed.shared.begin(), placed.shared.end());
         told.ownTokens += placed.ownTokens;
     }
-    part = { std::move(report), now };
+    timedReport = { std::move(report), now };
 }
 
-void RelayDesk::zoneReported(TimePoint now, const ZoneId& zone, dispatch::LoadReport report)
+void LoadReportAggregator::setZoneReport(TimePoint now, const ZoneId& zone, dispatch::LoadReport report)
 {
     m_zones[zone] = { std::move(report), now };
 }
 
-void RelayDesk::addPart(TimePoint now, dispatch::LoadReport& sum, const Part& part)
+void LoadReportAggregator::addReport(TimePoint now, dispatch::LoadReport& sum, const TimedReport& timedReport)
 {
-    const Duration age = part.report.age + (now - part.at);
-    add(sum, part.report);
+    const Duration age = timedReport.report.age + (now - timedReport.at);
+    add(sum, timedReport.report);
     sum.age = std::max(sum.age, age);
 }
 
-dispatch::LoadReport RelayDesk::zoneSum(TimePoint now) const
+dispatch::LoadReport LoadReportAggregator::zoneSum(TimePoint now) const
 {
     dispatch::LoadReport sum;
-    for (const auto& [vm, part] : m_members) {
-        if (now - part.at <= reportKept)
-            addPart(now, sum, part);
+    for (const auto& [vm, timedReport] : m_members) {
+        if (now - timedReport.at <= maxReportAge)
+            addReport(now, sum, timedReport);
     }
     return sum;
 }
 
-dispatch::LoadReport RelayDesk::sum(TimePoint now, dispatch::LoadReport own) const
+dispatch::LoadReport LoadReportAggregator::sum(TimePoint now, dispatch::LoadReport own) const
 {
-    for (const auto& [zone, part] : m_zones) {
-        if (now - part.at <= reportKept)
-            addPart(now, own, part);
-        else if (now - part.at <= customersKept)
-            addPart(now, own, { customersOf(part.report), part.at });
+    for (const auto& [zone, timedReport] : m_zones) {
+        if (now - timedReport.at <= maxReportAge)
+            addReport(now, own, timedReport);
+        else if (now - timedReport.at <= maxCustomersAge)
+            addReport(now, own, { customersOf(timedReport.report), timedReport.at });
     }
     return own;
 }
 
-std::set<std::string> RelayDesk::late(TimePoint now) const
+std::set<std::string> LoadReportAggregator::staleSources(TimePoint now) const
 {
     std::set<std::string> names;
-    for (const auto& [vm, part] : m_members) {
-        if (now - part.at > reportKept)
+    for (const auto& [vm, timedReport] : m_members) {
+        if (now - timedReport.at > maxReportAge)
             names.insert(vm.value);
     }
-    for (const auto& [zone, part] : m_zones) {
-        if (now - part.at > reportKept)
+    for (const auto& [zone, timedReport] : m_zones) {
+        if (now - timedReport.at > maxReportAge)
             names.insert(zone.value);
     }
     return names;
 }
 
-std::uint64_t RelayDesk::includedSerial(TimePoint now, const VmId& member) const
+std::uint64_t LoadReportAggregator::includedSerial(TimePoint now, const VmId& member) const
 {
     const auto it = m_members.find(member);
-    return it != m_members.end() && now - it->second.at <= reportKept ? it->second.report.serial : 0;
+    return it != m_members.end() && now - it->second.at <= maxReportAge ? it->second.report.serial : 0;
 }
 
-void RelayDesk::passedOn()
+void LoadReportAggregator::clearForwardedPrompts()
 {
-    for (auto& [vm, part] : m_members)
-        part.report.placed.clear();
-    for (auto& [zone, part] : m_zones)
-        part.report.placed.clear();
+    for (auto& [vm, timedReport] : m_members)
+        timedReport.report.placed.clear();
+    for (auto& [zone, timedReport] : m_zones)
+        timedReport.report.placed.clear();
 }
 
-void OwnReports::sent(const dispatch::LoadReport& report)
+void SentReports::sent(const dispatch::LoadReport& report)
 {
     m_reports.push_back(report);
     m_reports.back().placed.clear();
-    if (m_reports.size() > rememberedReports)
+    if (m_reports.size() > maxSentReports)
         m_reports.pop_front();
 }
 
-bool OwnReports::takeOff(dispatch::LoadReport& sum, std::uint64_t includedSerial) const
+bool SentReports::subtractFrom(dispatch::LoadReport& sum, std::uint64_t includedSerial) const
 {
     if (includedSerial == 0)
         return true;
--- a/src/quarantine/CrashGuard.cpp
+++ b/src/quarantine/CrashGuard.cpp
@@ -4,12 +4,12 @@
 
 Standing CrashGuard::standing(TimePoint now, RequestKey request)
 {
-    const unsigned ends = m_ledger.ends(request);
-    if (ends >= quarantineEnds) {
-        m_ledger.asked(now, request);
+    const unsigned exitCount = m_records.exitCount(request);
+    if (exitCount >= quarantineThreshold) {
+        m_records.markRequested(now, request);
         return Standing::Quarantined;
     }
-    const bool mayBeDecided = ends + m_detector.undecided(request) >= quarantineEnds;
+    const bool mayBeDecided = exitCount + m_detector.undecided(request) >= quarantineThreshold;
     return mayBeDecided ? Standing::Undecided : Standing::Clear;
 }
 
@@ -22,60 +22,60 @@
 void CrashGuard::broke(TimePoint now, TimePoint sentAt, TargetKey target, RequestKey request, bool isSilent)
 {
     m_detector.broke(now, sentAt, target, request, isSilent);
-    takeEnds(now);
+    takeExits(now);
 }
 
 void CrashGuard::checked(TimePoint now, const TargetCheck& check, CheckResult result)
 {
     m_detector.checked(now, check, result);
-    takeEnds(now);
+    takeExits(now);
 }
 
 void CrashGuard::entryGone(TimePoint now, TargetKey target)
 {
     m_detector.entryGone(now, target);
-    takeEnds(now);
+    takeExits(now);
 }
 
 void CrashGuard::replaced(TimePoint now, TargetKey target)
 {
     m_detector.replaced(now, target);
-    takeEnds(now);
+    takeExits(now);
 }
 
-void CrashGuard::takeEnds(TimePoint now)
+void CrashGuard::takeExits(TimePoint now)
 {
-    for (TargetEnd& end : m_detector.takeEnds()) {
+    for (TargetExit& end : m_detector.takeExits()) {
         for (const RequestKey request : end.requests) {
             const CrashRecord record { request, end.target, false };
-            m_news.own.push_back(record);
-            merge(now, record, ownTellings);
+            m_update.ownRecords.push_back(record);
+            merge(now, record, ownRecordTransmissions);
         }
-        m_news.ends.push_back(std::move(end));
+        m_update.targetExits.push_back(std::move(end));
     }
 }
 
-void CrashGuard::merge(TimePoint now, const CrashRecord& record, unsigned tellings)
+void CrashGuard::merge(TimePoint now, const CrashRecord& record, unsigned transmissions)
 {
-    const bool wasQuarantined = m_ledger.ends(record.request) >= quarantineEnds;
-    m_ledger.merge(now, record, tellings);
-    const bool isQuarantined = m_ledger.ends(record.request) >= quarantineEnds;
+    const bool wasQuarantined = m_records.exitCount(record.request) >= quarantineThreshold;
+    m_records.merge(now, record, transmissions);
+    const bool isQuarantined = m_records.exitCount(record.request) >= quarantineThreshold;
     if (wasQuarantined && !isQuarantined)
-        m_news.released.push_back(record.request);
+        m_update.released.push_back(record.request);
     if (wasQuarantined || !isQuarantined)
         return;
-    m_news.quarantined.push_back(m_ledger.find(record.request));
+    m_update.quarantined.push_back(m_records.find(record.request));
 }
 
 bool CrashGuard::clear(RequestKey request)
 {
-    if (m_ledger.ends(request) >= quarantineEnds)
-        m_news.released.push_back(request);
-    const std::vector<CrashRecord> cleared = m_ledger.clear(request);
-    m_news.own.insert(m_news.own.end(), cleared.begin(), cleared.end());
+    if (m_records.exitCount(request) >= quarantineThreshold)
+        m_update.released.push_back(request);
+    const std::vector<CrashRecord> cleared = m_records.clear(request);
+    m_update.ownRecords.insert(m_update.ownRecords.end(), cleared.begin(), cleared.end());
     return !cleared.empty();
 }
 
-CrashNews CrashGuard::takeNews() { return std::exchange(m_news, {}); }
+QuarantineUpdate CrashGuard::takeUpdate() { return std::exchange(m_update, {}); }
 
 } // namespace sagechute::quarantine
--- a/src/quarantine/RequestKey.cpp
+++ b/src/quarantine/RequestKey.cpp
@@ -14,7 +14,7 @@
 
     using Digest = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
 
-    /// The length goes first, so that bytes can't move from one part to the next.
+    /// Hashes the length first, so that moving bytes from one part to the next changes the digest.
     void add(EVP_MD_CTX* digest, std::string_view part)
     {
         const std::uint64_t size = part.size();
--- a/src/relay/RequestFlow.cpp
+++ b/src/relay/RequestFlow.cpp
@@ -9,7 +9,7 @@
     using dispatch::AttemptEnd;
     using dispatch::NextStep;
     using dispatch::RequestKind;
-    using edge::TargetAnswerHead;
+    using edge::TargetResponseHead;
 
     constexpr int callerGoneStatus = 499;
     constexpr int badGateway = 502;
@@ -18,56 +18,58 @@
     constexpr int requestTimeout = 408;
     constexpr int misdirected = 421;
     constexpr int tooManyRequests = 429;
-    constexpr int firstFailure = 300;
-    constexpr int firstServerFailure = 500;
+    constexpr int firstNonSuccessStatus = 300;
+    constexpr int firstServerErrorStatus = 500;
 
-    /// An idempotent request is sent elsewhere when this share of its time has passed without an answer.
-    constexpr double silenceShare = 0.35;
+    /// An idempotent request is sent to another target once this fraction of its remaining time has passed without a
+    /// response.
+    constexpr double silenceFraction = 0.35;
 
-    /// A stream that may be resumed goes on elsewhere after so long without an event. Callers give up after two
-    /// seconds; engines under the heaviest load are silent for some 150 ms.
-    constexpr Duration streamSilence = std::chrono::milliseconds(1200);
+    /// A resumable stream moves to another target after this long without an event. Callers give up after two seconds;
+    /// engines under the heaviest load pause for about 150 ms.
+    constexpr Duration streamIdleTimeout = std::chrono::milliseconds(1200);
     constexpr int firstEventFactor = 2;
 
-    /// A longer answer that is no stream is cut: nothing in these deployments comes near it.
-    constexpr std::size_t mostBodyBytes = 16 << 20;
+    /// Limit for buffered responses, i.e. those that are not streams; a longer response is rejected. Responses in these
+    /// deployments are far smaller.
+    constexpr std::size_t maxBufferedBodyBytes = 16 << 20;
 
-    /// Least time that is worth an attempt.
-    constexpr Duration leastLeft = std::chrono::milliseconds(15);
+    /// An attempt is not worth making with less time than this.
+    constexpr Duration minAttemptTime = std::chrono::milliseconds(15);
 
-    /// @return whether the status promises callers that their request has not run and will not.
-    bool saysNotRun(int status)
+    /// @return whether the status tells callers that their request has not run and will not run.
+    bool impliesNotRun(int status)
     {
         return status == tooManyRequests || status == unavailable || status == requestTimeout || status == misdirected;
     }
 
-    /// Such a status is true only of a target that says so in a header, too.
-    bool isBarePromise(const std::optional<TargetAnswerHead>& head)
+    /// Such a status is trusted only if the target also states it in a header.
+    bool isUnconfirmedNotRun(const std::optional<TargetResponseHead>& head)
     {
-        return head && !head->hasNotRun && saysNotRun(head->status);
+        return head && !head->hasNotRun && impliesNotRun(head->status);
     }
 
-    /// A success is the target's only with its signature; without it somebody on the way made it.
-    bool isSoundAnswerTo(const TargetAnswerHead& head, const std::string& requestId)
+    /// A success must carry the target's signature; without it, an intermediary produced the response.
+    bool isValidResponseTo(const TargetResponseHead& head, const std::string& requestId)
     {
-        if (head.status < firstFailure && !head.isSigned)
+        if (head.status < firstNonSuccessStatus && !head.isSigned)
             return false;
         return head.requestId ? *head.requestId == requestId : head.hasNotRun;
     }
 
-    AttemptEnd notRunEnd(const TargetAnswerHead& head)
+    AttemptEnd notRunEnd(const TargetResponseHead& head)
     {
         return head.isOtherTarget ? AttemptEnd::WrongTarget : AttemptEnd::NotRun;
     }
 
-    /// An engine's run has one event at least, so that a connection that closes before it is no end of an answer. A
-    /// stream that is framed as empty is the target's own word.
-    bool isCutShort(const AnswerEnd& end)
+    /// An engine sends at least one event per run, so a connection that closes before the first event did not end the
+    /// response. A stream whose framing ends it explicitly may be empty.
+    bool isTruncated(const ResponseEnd& end)
     {
-        return end.cutBytes > 0 || (end.transfer == net::TransferEnd::Closed && end.isWithoutEvent);
+        return end.truncatedBytes > 0 || (end.transfer == net::TransferEnd::Closed && end.hasNoEvent);
     }
 
-    AttemptEnd judgeAnswer(const AnswerEnd& end, const std::optional<TargetAnswerHead>& head)
+    AttemptEnd classifyResponse(const ResponseEnd& end, const std::optional<TargetResponseHead>& head)
     {
         switch (end.transfer) {
         case net::TransferEnd::NothingSent:
@@ -76,43 +78,43 @@
             return AttemptEnd::Silent;
         case net::TransferEnd::BrokenAfterSend:
         case net::TransferEnd::Cancelled:
-            // The head alone is a promise that it has not run.
+            // The head alone already states that the request has not run.
             return head && head->hasNotRun ? notRunEnd(*head) : AttemptEnd::Broken;
         case net::TransferEnd::Completed:
         case net::TransferEnd::Closed:
             break;
         }
-        if (!head || !end.unsound.empty() || isCutShort(end))
+        if (!head || !end.rejectReason.empty() || isTruncated(end))
             return AttemptEnd::Broken;
         if (head->hasNotRun)
             return notRunEnd(*head);
-        return head->status >= firstServerFailure ? AttemptEnd::Failed : AttemptEnd::Answered;
+        return head->status >= firstServerErrorStatus ? AttemptEnd::Failed : AttemptEnd::Answered;
     }
 
-    bool hasNotArrived(AttemptEnd end) { return end == AttemptEnd::Unreachable || end == AttemptEnd::Withdrawn; }
+    bool hasNotReachedTarget(AttemptEnd end) { return end == AttemptEnd::Unreachable || end == AttemptEnd::Withdrawn; }
 
     bool certainlyHasNotRun(AttemptEnd end)
     {
-        return hasNotArrived(end) || end == AttemptEnd::NotRun || end == AttemptEnd::WrongTarget;
+        return hasNotReachedTarget(end) || end == AttemptEnd::NotRun || end == AttemptEnd::WrongTarget;
     }
 
 } // namespace
 
-std::string toString(const AnswerEnd& end)
+std::string toString(const ResponseEnd& end)
 {
     std::string text = end.transfer == net::TransferEnd::Closed ? "+closed" : "";
-    if (end.cutBytes)
-        text += "+cut:" + std::to_string(end.cutBytes);
-    if (!end.unsound.empty())
-        text += "+unsound:" + std::string(end.unsound);
+    if (end.truncatedBytes)
+        text += "+cut:" + std::to_string(end.truncatedBytes);
+    if (!end.rejectReason.empty())
+        text += "+unsound:" + std::string(end.rejectReason);
     return text;
 }
 
-FlowRules FlowRules::standard() { return { dispatch::nextStep, isSoundAnswerTo, judgeAnswer }; }
+FlowRules FlowRules::standard() { return { dispatch::nextStep, isValidResponseTo, classifyResponse }; }
 
-RequestFlow::RequestFlow(FlowPort& port, RequestFacts facts, const FlowRules& rules)
-    : m_port(port)
-    , m_facts(std::move(facts))
+RequestFlow::RequestFlow(RequestFlowDelegate& delegate, RequestInfo facts, const FlowRules& rules)
+    : m_delegate(delegate)
+    , m_info(std::move(facts))
     , m_rules(rules)
 {
 }
@@ -121,13 +123,13 @@
 
 void RequestFlow::place(TimePoint now, Round round)
 {
-    if (m_facts.due - now < leastLeft) {
+    if (m_info.deadline - now < minAttemptTime) {
         fail(m_mayHaveRun ? gatewayTimeout : unavailable, "no time is left");
         return;
     }
-    const dispatch::Demand demand { m_facts.customer, m_facts.service, m_facts.route, m_facts.prompt, m_facts.bytes,
-        m_facts.arrived, m_facts.due, { m_sentTo.begin(), m_sentTo.end() }, m_facts.key };
-    const dispatch::Decision decision = m_port.place(now, demand, round);
+    const dispatch::Demand demand { m_info.customer, m_info.service, m_info.route, m_info.prompt, m_info.bytes,
+        m_info.arrived, m_info.deadline, { m_sentTo.begin(), m_sentTo.end() }, m_info.key };
+    const dispatch::Decision decision = m_delegate.place(now, demand, round);
     if (const auto* placement = std::get_if<dispatch::Placement>(&decision)) {
         m_record.isRefused = false;
         send(now, *placement);
@@ -137,7 +139,7 @@
     m_record.refusal = std::get<dispatch::Refusal>(decision);
     m_record.trace += " refused:" + std::string(toString(m_record.refusal.reason));
     if (m_failedHead && !m_hasStarted)
-        relayHeldAnswer();
+        relaySavedFailure();
     else if (m_mayHaveRun || m_hasStarted)
         fail(badGateway, "the target broke off");
     else
@@ -151,184 +153,188 @@
     m_lastEventAt = now;
     m_head.reset();
     m_body.clear();
-    m_unsound = {};
+    m_rejectReason = {};
     m_splitter.emplace(m_lastEventId);
     m_sentTo.push_back(placement.target.life());
-    m_number = static_cast<unsigned>(m_sentTo.size());
+    m_attemptNumber = static_cast<unsigned>(m_sentTo.size());
     m_inFlight = true;
-    m_silenceCheck = now + patience(now);
-    m_port.send({ m_number, placement, m_facts.due - now, m_hasStarted ? m_lastEventId : std::string() });
+    m_silenceDeadline = now + responseTimeout(now);
+    m_delegate.send(
+        { m_attemptNumber, placement, m_info.deadline - now, m_hasStarted ? m_lastEventId : std::string() });
 }
 
-Duration RequestFlow::patience(TimePoint now) const
+Duration RequestFlow::responseTimeout(TimePoint now) const
 {
-    const Duration left = m_facts.due - now;
-    if (m_facts.route->kind == RequestKind::Idempotent)
-        return std::chrono::duration_cast<Duration>(silenceShare * left);
-    if (m_facts.route->kind == RequestKind::Stream && m_facts.route->isResumable)
-        return firstEventFactor * m_record.placement.predictedFirst + streamSilence;
-    return left;
+    const Duration timeLeft = m_info.deadline - now;
+    if (m_info.route->kind == RequestKind::Idempotent)
+        return std::chrono::duration_cast<Duration>(silenceFraction * timeLeft);
+    if (m_info.route->kind == RequestKind::Stream && m_info.route->isResumable)
+        return firstEventFactor * m_record.placement.predictedFirst + streamIdleTimeout;
+    return timeLeft;
 }
 
-TimePoint RequestFlow::nextWake() const { return m_inFlight ? std::min(m_facts.due, m_silenceCheck) : m_facts.due; }
+TimePoint RequestFlow::nextWake() const
+{
+    return m_inFlight ? std::min(m_info.deadline, m_silenceDeadline) : m_info.deadline;
+}
 
 bool RequestFlow::isStreamed() const
 {
-    return m_facts.route->kind == RequestKind::Stream && m_head && m_head->isEventStream
-        && m_head->status < firstFailure && !m_head->hasNotRun;
+    return m_info.route->kind == RequestKind::Stream && m_head && m_head->isEventStream
+        && m_head->status < firstNonSuccessStatus && !m_head->hasNotRun;
 }
 
-void RequestFlow::disown(std::string_view why)
+void RequestFlow::rejectResponse(std::string_view why)
 {
-    m_unsound = why;
-    m_port.cancel();
+    m_rejectReason = why;
+    m_delegate.cancel();
 }
 
-void RequestFlow::head(TimePoint now, unsigned number, TargetAnswerHead head)
+void RequestFlow::head(TimePoint now, unsigned number, TargetResponseHead head)
 {
-    passOnSignals(now, number, head.signals);
-    if (!isOf(number))
+    forwardSignals(now, number, head.signals);
+    if (!isCurrentAttempt(number))
         return;
     m_head = std::move(head);
-    if (!m_rules.isAnswerTo(*m_head, m_facts.id)) {
-        disown("head");
+    if (!m_rules.isResponseTo(*m_head, m_info.id)) {
+        rejectResponse("head");
         return;
     }
     if (!isStreamed() && !m_head->hasNotRun)
-        m_port.firstAnswer(now, m_record.placement.attempt);
+        m_delegate.firstAnswer(now, m_record.placement.attempt);
 }
 
-void RequestFlow::passOnSignals(TimePoint now, unsigned number, const dispatch::TargetSignals& signals)
+void RequestFlow::forwardSignals(TimePoint now, unsigned number, const dispatch::TargetSignals& signals)
 {
-    // They hold for the target, whoever waits for the answer: its caller may have left, or another attempt have begun.
+    // Signals concern the target, so they count even if the caller has disconnected or another attempt has begun.
     if (signals.any() && number >= 1 && number <= m_sentTo.size())
-        m_port.targetSaid(now, m_sentTo[number - 1], signals);
+        m_delegate.onTargetSignals(now, m_sentTo[number - 1], signals);
 }
 
 void RequestFlow::bytes(TimePoint now, unsigned number, std::string_view bytes)
 {
-    if (!isOf(number) || !m_unsound.empty() || !m_head)
+    if (!isCurrentAttempt(number) || !m_rejectReason.empty() || !m_head)
         return;
     if (isStreamed()) {
-        takeStreamBytes(now, bytes);
+        processStreamBytes(now, bytes);
         return;
     }
-    if (m_body.size() + bytes.size() > mostBodyBytes) {
-        disown("size");
+    if (m_body.size() + bytes.size() > maxBufferedBodyBytes) {
+        rejectResponse("size");
         return;
     }
     m_body += bytes;
 }
 
-void RequestFlow::takeStreamBytes(TimePoint now, std::string_view bytes)
+void RequestFlow::processStreamBytes(TimePoint now, std::string_view bytes)
 {
-    const std::string whole = m_splitter->feed(bytes);
-    if (!whole.empty()) {
+    const std::string completeEvents = m_splitter->feed(bytes);
+    if (!completeEvents.empty()) {
         startStream(now);
         m_lastEventId = m_splitter->lastId();
-        m_mayResume = m_splitter->knowsLastEvent();
+        m_mayResume = m_splitter->canResumeAfterLastId();
         m_lastEventAt = now;
-        m_port.write(whole);
+        m_delegate.write(completeEvents);
     }
-    if (!m_splitter->isDisordered())
+    if (!m_splitter->hasInvalidEvent())
         return;
-    m_mayResume &= m_splitter->knowsLastEvent();
-    disown("order");
+    m_mayResume &= m_splitter->canResumeAfterLastId();
+    rejectResponse("order");
 }
 
 void RequestFlow::startStream(TimePoint now)
 {
     if (m_splitter->events() > 0)
-        m_port.firstAnswer(now, m_record.placement.attempt);
+        m_delegate.firstAnswer(now, m_record.placement.attempt);
     if (m_hasStarted)
         return;
     m_hasStarted = true;
-    m_record.firstEventAfter = now - m_facts.arrived;
-    m_record.firstEventError = now - m_sentAt - m_record.placement.predictedFirst;
-    m_port.startStream(m_head->status, m_head->relayed);
+    m_record.firstEventLatency = now - m_info.arrived;
+    m_record.firstEventPredictionError = now - m_sentAt - m_record.placement.predictedFirst;
+    m_delegate.startStream(m_head->status, m_head->relayed);
 }
 
 void RequestFlow::ended(TimePoint now, unsigned number, net::TransferEnd transferEnd)
 {
-    if (!m_inFlight || number != m_number)
+    if (!m_inFlight || number != m_attemptNumber)
         return;
-    const AnswerEnd end = answerEnd(transferEnd);
-    endAttempt(now, m_unsound.empty() ? m_rules.judge(end, m_head) : AttemptEnd::Broken, end);
+    const ResponseEnd end = responseEnd(transferEnd);
+    endAttempt(now, m_rejectReason.empty() ? m_rules.classify(end, m_head) : AttemptEnd::Broken, end);
 }
 
-AnswerEnd RequestFlow::answerEnd(net::TransferEnd transferEnd) const
+ResponseEnd RequestFlow::responseEnd(net::TransferEnd transferEnd) const
 {
-    AnswerEnd end { transferEnd };
-    end.unsound = m_unsound.empty() && isBarePromise(m_head) ? "status" : m_unsound;
+    ResponseEnd end { transferEnd };
+    end.rejectReason = m_rejectReason.empty() && isUnconfirmedNotRun(m_head) ? "status" : m_rejectReason;
     if (isStreamed()) {
-        end.cutBytes = m_splitter->isInsideEvent() ? m_splitter->rest().size() : 0;
-        end.isWithoutEvent = m_splitter->events() == 0;
+        end.truncatedBytes = m_splitter->isInsideEvent() ? m_splitter->remainder().size() : 0;
+        end.hasNoEvent = m_splitter->events() == 0;
     }
     return end;
 }
 
 void RequestFlow::withdrawn(TimePoint now, unsigned number)
 {
-    if (m_inFlight && number == m_number)
+    if (m_inFlight && number == m_attemptNumber)
         endAttempt(now, AttemptEnd::Withdrawn);
 }
 
-void RequestFlow::endAttempt(TimePoint now, AttemptEnd end, const AnswerEnd& answerEnd)
+void RequestFlow::endAttempt(TimePoint now, AttemptEnd end, const ResponseEnd& responseEnd)
 {
-    finishAttempt(now, end, answerEnd);
-    // A request that goes on after its caller left is followed no further.
+    finishAttempt(now, end, responseEnd);
+    // A request that continues after its caller disconnected gets no further attempts.
     if (!m_done)
-        follow(now, end);
+        takeNextStep(now, end);
 }
 
-void RequestFlow::finishAttempt(TimePoint now, AttemptEnd end, const AnswerEnd& answerEnd)
+void RequestFlow::finishAttempt(TimePoint now, AttemptEnd end, const ResponseEnd& responseEnd)
 {
     m_inFlight = false;
-    m_port.attemptEnded(now, m_record.placement.attempt, end, answerEnd);
+    m_delegate.attemptEnded(now, m_record.placement.attempt, end, responseEnd);
     m_record.trace
-        += " " + toString(m_record.placement.target.life()) + ":" + std::string(toString(end)) + toString(answerEnd);
+        += " " + toString(m_record.placement.target.life()) + ":" + std::string(toString(end)) + toString(responseEnd);
     if (m_head)
         m_record.trace += toString(m_head->signals);
     if (!certainlyHasNotRun(end)) {
         m_mayHaveRun = true;
-        ++m_runs;
+        ++m_possibleRuns;
     }
 }
 
-void RequestFlow::cancelAs(TimePoint now, AttemptEnd end)
+void RequestFlow::cancelAttempt(TimePoint now, AttemptEnd end)
 {
-    m_port.cancel();
+    m_delegate.cancel();
     finishAttempt(now, end);
 }
 
-void RequestFlow::follow(TimePoint now, AttemptEnd end)
+void RequestFlow::takeNextStep(TimePoint now, AttemptEnd end)
 {
     if (end == AttemptEnd::Failed) {
         m_failedHead = m_head;
         m_failedBody = m_body;
     }
-    const dispatch::AttemptFacts facts { m_facts.route->kind, isResumable(), m_hasStarted, m_runs,
-        m_facts.route->attempts, m_number, end, m_mayHaveRun };
+    const dispatch::AttemptFacts facts { m_info.route->kind, isResumable(), m_hasStarted, m_possibleRuns,
+        m_info.route->attempts, m_attemptNumber, end, m_mayHaveRun };
     switch (m_rules.next(facts)) {
     case NextStep::Relay:
         if (isStreamed()) {
             endStream(now);
         } else {
-            m_port.respond(*m_head, std::move(m_body));
-            conclude(m_head->status, m_head->status < firstFailure ? "completed" : "refused-or-failed");
+            m_delegate.respond(*m_head, std::move(m_body));
+            conclude(m_head->status, m_head->status < firstNonSuccessStatus ? "completed" : "refused-or-failed");
         }
         return;
     case NextStep::TryElsewhere:
-        place(now, hasNotArrived(end) ? Round::AfterNothing : Round::AfterArrival);
+        place(now, hasNotReachedTarget(end) ? Round::AfterNothing : Round::AfterArrival);
         return;
     case NextStep::Refuse:
         m_record.isRefused = true;
-        m_record.refusal = m_port.giveUp(now, m_facts.service);
+        m_record.refusal = m_delegate.giveUp(now, m_info.service);
         refuse(m_record.refusal);
         return;
     case NextStep::Fail:
         if (m_failedHead && !m_hasStarted)
-            relayHeldAnswer();
+            relaySavedFailure();
         else
             fail(badGateway, "the target's answer was lost");
         return;
@@ -337,35 +343,35 @@
 
 void RequestFlow::endStream(TimePoint now)
 {
-    // Also where it has no event: an empty stream is a whole answer.
+    // Needed also without any event: an empty stream is a complete response.
     startStream(now);
-    // Comments; a stream that ends inside an event isn't whole.
-    m_port.write(m_splitter->rest());
-    m_port.finish();
+    // Only comments can remain here; a stream that ends inside an event counts as broken.
+    m_delegate.write(m_splitter->remainder());
+    m_delegate.finish();
     conclude(m_head->status, "completed");
 }
 
-void RequestFlow::relayHeldAnswer()
+void RequestFlow::relaySavedFailure()
 {
-    m_port.respond(*m_failedHead, m_failedBody);
+    m_delegate.respond(*m_failedHead, m_failedBody);
     conclude(m_failedHead->status, "refused-or-failed");
 }
 
 void RequestFlow::refuse(const dispatch::Refusal& refusal)
 {
     const int status = refusal.reason == dispatch::RefusalReason::OverShare ? tooManyRequests : unavailable;
-    m_port.refuse(status, toString(refusal.reason), refusal.comeBack);
+    m_delegate.refuse(status, toString(refusal.reason), refusal.comeBack);
     conclude(status, "refused-or-failed");
 }
 
 void RequestFlow::fail(int status, std::string_view reason)
 {
     if (m_hasStarted) {
-        m_port.abort();
+        m_delegate.abort();
         conclude(status, reason);
         return;
     }
-    m_port.refuse(status, reason, std::nullopt);
+    m_delegate.refuse(status, reason, std::nullopt);
     conclude(status, "refused-or-failed");
 }
 
@@ -380,40 +386,40 @@
 {
     if (m_done)
         return;
-    if (now >= m_facts.due) {
+    if (now >= m_info.deadline) {
         if (m_inFlight)
-            cancelAs(now, AttemptEnd::Silent);
+            cancelAttempt(now, AttemptEnd::Silent);
         fail(gatewayTimeout, "the time for the answer has passed");
         return;
     }
-    if (m_inFlight && now >= m_silenceCheck)
+    if (m_inFlight && now >= m_silenceDeadline)
         checkSilence(now);
 }
 
 void RequestFlow::checkSilence(TimePoint now)
 {
-    m_silenceCheck = m_facts.due;
-    if (m_runs + 1 >= m_facts.route->attempts)
+    m_silenceDeadline = m_info.deadline;
+    if (m_possibleRuns + 1 >= m_info.route->attempts)
         return;
-    const bool isStream = m_facts.route->kind == RequestKind::Stream;
+    const bool isStream = m_info.route->kind == RequestKind::Stream;
     if (isStream ? !isResumable() : m_head.has_value())
         return;
-    const Duration quiet = now - m_lastEventAt;
-    if (isStream && m_hasStarted && quiet < streamSilence) {
-        m_silenceCheck = m_lastEventAt + streamSilence;
+    const Duration idleTime = now - m_lastEventAt;
+    if (isStream && m_hasStarted && idleTime < streamIdleTimeout) {
+        m_silenceDeadline = m_lastEventAt + streamIdleTimeout;
         return;
     }
-    cancelAs(now, AttemptEnd::Silent);
-    follow(now, AttemptEnd::Silent);
+    cancelAttempt(now, AttemptEnd::Silent);
+    takeNextStep(now, AttemptEnd::Silent);
 }
 
 void RequestFlow::callerGone(TimePoint now)
 {
     if (m_done)
         return;
-    // A request that must not run twice goes on: whether it ran matters more than the target's time.
-    if (m_inFlight && m_facts.route->kind != RequestKind::Once)
-        cancelAs(now, AttemptEnd::CallerGone);
+    // A request that must not be repeated continues: knowing whether it ran matters more than the target's time.
+    if (m_inFlight && m_info.route->kind != RequestKind::Once)
+        cancelAttempt(now, AttemptEnd::CallerGone);
     conclude(callerGoneStatus, "caller-gone");
 }
 
--- a/tests/CrowdTest.cpp
+++ b/tests/CrowdTest.cpp
@@ -1,4 +1,4 @@
-// A router with more to do than its cores carry: CrowdMeter and ReadinessGate of src/edge.
+// Tests of an overloaded router: AdaptiveRateLimiter and ReadinessGate of src/edge.
 
 #include <sagechute/Edge.h>
 
@@ -14,49 +14,49 @@
 
 constexpr TimePoint start { 100s };
 
-/// A router's machine under a virtual clock: work waits in line, as in the kernel's queues, and takes its time.
-class Machine {
+/// A router's machine under a virtual clock: work queues up, as in the kernel, and takes time.
+class SimulatedMachine {
 public:
     struct Load {
         double perSecond = 100;
-        unsigned pieces = 10; ///< Of each stream, over a second and a half.
-        bool isMostlyOne = false; ///< All but one in forty of the requests are one customer's.
+        unsigned pieces = 10; ///< Per stream, spread over 1.5 s.
+        bool isMostlyOne = false; ///< 39 of 40 requests come from one customer.
     };
 
-    /// @return milliseconds of work that are done in a millisecond.
+    /// @return milliseconds of work done per millisecond.
     using Speed = std::function<double(Duration sinceStart)>;
 
-    /// Work that may be done in each tenth of a second, at full speed; then nothing until the next one begins.
+    /// Limits the work done at full speed in each 100 ms; the machine then stalls until the next 100 ms begin.
     void setQuota(double ms) { m_quotaMs = ms; }
 
-    struct Seen {
-        unsigned asked = 0;
-        unsigned taken = 0;
-        unsigned smallAsked = 0; ///< Of customers that don't flood.
-        unsigned smallTaken = 0;
+    struct Result {
+        unsigned requests = 0;
+        unsigned admitted = 0;
+        unsigned smallCustomerRequests = 0; ///< Of customers that do not flood.
+        unsigned smallCustomerAdmitted = 0;
         Duration longestWait {};
         double busyShare = 0;
     };
 
     /// @param requestMs work of a request without its stream.
-    Machine(CrowdMeter& meter, double requestMs, Speed speed)
+    SimulatedMachine(AdaptiveRateLimiter& meter, double requestMs, Speed speed)
         : m_meter(meter)
         , m_requestMs(requestMs)
         , m_speed(std::move(speed))
     {
     }
 
-    /// @return what was seen of the time until @p until, from the end of the last play.
-    Seen play(const Load& load, Duration until)
+    /// @return observations from the end of the last call until @p until.
+    Result run(const Load& load, Duration until)
     {
-        m_seen = {};
+        m_result = {};
         const Duration from = m_now;
         const Duration busyBefore = m_work.busy;
         for (; m_now < until; m_now += step)
             advance(load);
         using Seconds = std::chrono::duration<double>;
-        m_seen.busyShare = Seconds(m_work.busy - busyBefore) / Seconds(until - from);
-        return m_seen;
+        m_result.busyShare = Seconds(m_work.busy - busyBefore) / Seconds(until - from);
+        return m_result;
     }
 
 private:
@@ -67,13 +67,13 @@
     struct Item {
         Duration at;
         bool isPiece = false;
-        bool isSmall = false;
+        bool isFromSmallCustomer = false;
     };
 
     void advance(const Load& load)
     {
-        m_due += load.perSecond * std::chrono::duration<double>(step).count();
-        for (; m_due >= 1; m_due -= 1)
+        m_pendingArrivals += load.perSecond * std::chrono::duration<double>(step).count();
+        for (; m_pendingArrivals >= 1; m_pendingArrivals -= 1)
             m_queue.push_back({ m_now, false, !load.isMostlyOne || ++m_serial % 40 == 0 });
         for (; !m_pieces.empty() && *m_pieces.begin() <= m_now; m_pieces.erase(m_pieces.begin()))
             m_queue.push_back({ m_now, true });
@@ -82,15 +82,15 @@
         const double speed = m_speed(m_now);
         const double available = std::min(speed, m_leftOfQuota);
         double left = available;
-        while (left > 0 && (m_left > 0 || !m_queue.empty())) {
-            if (m_left <= 0)
+        while (left > 0 && (m_remainingWork > 0 || !m_queue.empty())) {
+            if (m_remainingWork <= 0)
                 begin(load);
-            const double done = std::min(left, m_left);
+            const double done = std::min(left, m_remainingWork);
             left -= done;
-            m_left -= done;
+            m_remainingWork -= done;
         }
         m_leftOfQuota -= available - left;
-        const bool hasMore = m_left > 0 || !m_queue.empty();
+        const bool hasMore = m_remainingWork > 0 || !m_queue.empty();
         m_work.busy += hasMore ? step : std::chrono::duration_cast<Duration>((available - left) / speed * step);
         if (m_now % 100ms == 0ms)
             m_meter.measure(start + m_now, m_work, 10);
@@ -100,158 +100,158 @@
     {
         const Item item = m_queue.front();
         m_queue.pop_front();
-        m_seen.longestWait = std::max(m_seen.longestWait, m_now - item.at);
+        m_result.longestWait = std::max(m_result.longestWait, m_now - item.at);
         if (item.isPiece) {
             ++m_work.pieces;
-            m_left = m_requestMs * pieceWork;
+            m_remainingWork = m_requestMs * pieceWork;
             return;
         }
-        const std::string customer = item.isSmall ? "c" + std::to_string(m_small++ % 10) : "flood";
-        const bool isTaken = m_meter.takes(start + m_now, { customer });
-        m_left = m_requestMs * (isTaken ? 1 : refusalWork);
-        ++(isTaken ? m_work.taken : m_work.refused);
-        for (unsigned i = 1; isTaken && i <= load.pieces; ++i)
+        const std::string customer = item.isFromSmallCustomer ? "c" + std::to_string(m_small++ % 10) : "flood";
+        const bool isAdmitted = m_meter.admit(start + m_now, { customer });
+        m_remainingWork = m_requestMs * (isAdmitted ? 1 : refusalWork);
+        ++(isAdmitted ? m_work.admitted : m_work.refused);
+        for (unsigned i = 1; isAdmitted && i <= load.pieces; ++i)
             m_pieces.insert(m_now + 1500ms / load.pieces * i);
-        ++m_seen.asked;
-        m_seen.taken += isTaken ? 1 : 0;
-        m_seen.smallAsked += item.isSmall ? 1 : 0;
-        m_seen.smallTaken += item.isSmall && isTaken ? 1 : 0;
+        ++m_result.requests;
+        m_result.admitted += isAdmitted ? 1 : 0;
+        m_result.smallCustomerRequests += item.isFromSmallCustomer ? 1 : 0;
+        m_result.smallCustomerAdmitted += item.isFromSmallCustomer && isAdmitted ? 1 : 0;
     }
 
-    CrowdMeter& m_meter;
+    AdaptiveRateLimiter& m_meter;
     const double m_requestMs;
     const Speed m_speed;
     Duration m_now {};
-    double m_due = 0;
+    double m_pendingArrivals = 0;
     unsigned m_serial = 0;
     unsigned m_small = 0;
     std::deque<Item> m_queue;
     std::multiset<Duration> m_pieces;
-    double m_left = 0; ///< Work of what is being done.
+    double m_remainingWork = 0; ///< Of the current item.
     double m_quotaMs = std::numeric_limits<double>::infinity();
     double m_leftOfQuota = 0;
     RouterWork m_work;
-    Seen m_seen;
+    Result m_result;
 };
 
 } // namespace
 
-// Symptom: a router refuses most of what comes while its core is half idle, or takes all and answers nothing in time.
-// Sequence: a customer's callers send several times what one router can carry. Cause: what a request costs was written
-// down once, for one machine and one way of carrying requests.
-TEST_CASE("a router learns what its machine can carry, takes that and refuses the rest at once")
+// Guards against a router that refuses most requests while its core is half idle, or admits all and answers none in
+// time. A customer's callers send several times what one router can carry, and a fixed cost per request only fits one
+// machine and one implementation.
+TEST_CASE("a router measures what its machine can carry, admits that much and refuses the rest at once")
 {
     const double cores = GENERATE(0.12, 0.25, 0.5, 1.0);
     const double requestMs = GENERATE(0.1, 0.4, 1.6);
     const unsigned pieces = GENERATE(0U, 10U, 40U);
-    CrowdMeter meter(cores, 1000);
-    Machine machine(meter, requestMs, [&](Duration) { return cores; });
+    AdaptiveRateLimiter meter(cores, 1000);
+    SimulatedMachine machine(meter, requestMs, [&](Duration) { return cores; });
     const double capacity = 1000 * cores / (requestMs * (1 + 0.09 * pieces));
-    const Machine::Load flood { 2 * capacity, pieces, false };
-    machine.play(flood, 6s);
-    const Machine::Seen seen = machine.play(flood, 12s);
+    const SimulatedMachine::Load flood { 2 * capacity, pieces, false };
+    machine.run(flood, 6s);
+    const SimulatedMachine::Result result = machine.run(flood, 12s);
     INFO("cores " << cores << ", request " << requestMs << " ms, pieces " << pieces);
-    CHECK(seen.busyShare > 0.6);
-    CHECK(seen.longestWait < 250ms);
-    CHECK(meter.usePercent() > 120);
-    CHECK(meter.isCrowded());
+    CHECK(result.busyShare > 0.6);
+    CHECK(result.longestWait < 250ms);
+    CHECK(meter.utilizationPercent() > 120);
+    CHECK(meter.shouldShedConnections());
 }
 
-TEST_CASE("at a usual load a router refuses nothing and sends nobody away")
+TEST_CASE("at normal load a router refuses nothing and keeps its connections")
 {
-    CrowdMeter meter(0.25, 1000);
-    Machine machine(meter, 0.4, [](Duration) { return 0.25; });
-    const Machine::Seen seen = machine.play({ 60, 10, false }, 20s);
-    CHECK(seen.taken == seen.asked);
-    CHECK_FALSE(meter.isCrowded());
+    AdaptiveRateLimiter meter(0.25, 1000);
+    SimulatedMachine machine(meter, 0.4, [](Duration) { return 0.25; });
+    const SimulatedMachine::Result result = machine.run({ 60, 10, false }, 20s);
+    CHECK(result.admitted == result.requests);
+    CHECK_FALSE(meter.shouldShedConnections());
 }
 
-// Symptom: requests pass their deadlines in a router that slowed down, or whose core is taken away for parts of each
-// tenth of a second. Cause: it believes in what requests cost before.
-TEST_CASE("a router follows a machine that slows down fivefold and recovers, and one that runs by quota")
+// Guards against requests that pass their deadlines in a router that slowed down, or whose core is withdrawn for part
+// of each 100 ms, because the router relies on an old cost per request.
+TEST_CASE("a router adapts to a machine that slows down fivefold and recovers, and to a CPU quota")
 {
     const auto slowed = [](Duration t) { return t >= 8s && t < 14s ? 0.05 : 0.25; };
-    const Machine::Load load { 350, 10, false };
+    const SimulatedMachine::Load load { 350, 10, false };
     SECTION("slowed")
     {
-        CrowdMeter meter(0.25, 1000);
-        Machine machine(meter, 0.2, slowed);
-        machine.play(load, 4s);
-        const Machine::Seen before = machine.play(load, 8s);
-        machine.play(load, 10s);
-        const Machine::Seen during = machine.play(load, 14s);
-        machine.play(load, 18s);
-        const Machine::Seen after = machine.play(load, 22s);
-        // Streams that were taken before still have a second's work left.
+        AdaptiveRateLimiter meter(0.25, 1000);
+        SimulatedMachine machine(meter, 0.2, slowed);
+        machine.run(load, 4s);
+        const SimulatedMachine::Result before = machine.run(load, 8s);
+        machine.run(load, 10s);
+        const SimulatedMachine::Result during = machine.run(load, 14s);
+        machine.run(load, 18s);
+        const SimulatedMachine::Result after = machine.run(load, 22s);
+        // Streams that were admitted before still need a second of work.
         CHECK(during.longestWait < 1500ms);
-        CHECK(during.taken < before.taken / 3);
-        CHECK(after.taken > before.taken * 8 / 10);
+        CHECK(during.admitted < before.admitted / 3);
+        CHECK(after.admitted > before.admitted * 8 / 10);
     }
-    SECTION("by quota")
+    SECTION("CPU quota")
     {
-        CrowdMeter meter(0.25, 1000);
-        Machine machine(meter, 0.2, [](Duration) { return 1.0; });
+        AdaptiveRateLimiter meter(0.25, 1000);
+        SimulatedMachine machine(meter, 0.2, [](Duration) { return 1.0; });
         machine.setQuota(25);
-        const Machine::Load flood { 800, 10, false };
-        machine.play(flood, 6s);
-        const Machine::Seen seen = machine.play(flood, 12s);
-        CHECK(seen.longestWait < 500ms);
-        CHECK(seen.taken > 6 * 300);
+        const SimulatedMachine::Load flood { 800, 10, false };
+        machine.run(flood, 6s);
+        const SimulatedMachine::Result result = machine.run(flood, 12s);
+        CHECK(result.longestWait < 500ms);
+        CHECK(result.admitted > 6 * 300);
     }
-    SECTION("deliberate fault: believes in the old cost")
+    SECTION("deliberate fault: never adapts the cost")
     {
-        CrowdMeter meter(0.25, 1000, { .learns = false });
-        Machine machine(meter, 0.2, slowed);
-        machine.play(load, 10s);
-        CHECK(machine.play(load, 14s).longestWait > 3s);
+        AdaptiveRateLimiter meter(0.25, 1000, { .isAdaptive = false });
+        SimulatedMachine machine(meter, 0.2, slowed);
+        machine.run(load, 10s);
+        CHECK(machine.run(load, 14s).longestWait > 3s);
     }
 }
 
-// Symptom: after a quiet hour a router refuses the first requests of a burst. Sequence: nothing but heartbeats and
-// readiness checks for long. Cause: their time was taken for the cost of the few requests between them.
-TEST_CASE("a quiet time teaches a router nothing wrong")
+// Guards against a router that refuses the first requests of a burst after a quiet hour, because it attributed the time
+// for heartbeats and readiness checks to the few requests among them.
+TEST_CASE("a quiet period does not distort the measured cost")
 {
-    CrowdMeter meter(0.25, 1000);
+    AdaptiveRateLimiter meter(0.25, 1000);
     RouterWork work;
     for (int i = 0; i < 36'000; ++i) {
         work.busy += 1ms;
-        work.taken += i % 600 == 0 ? 1 : 0;
+        work.admitted += i % 600 == 0 ? 1 : 0;
         meter.measure(start + i * 100ms, work, 5);
     }
     const TimePoint later = start + 3600s;
-    unsigned taken = 0;
+    unsigned admitted = 0;
     for (int i = 0; i < 100; ++i)
-        taken += meter.takes(later + i * 5ms, { "c" + std::to_string(i % 10) }) ? 1 : 0;
-    CHECK(taken == 100);
+        admitted += meter.admit(later + i * 5ms, { "c" + std::to_string(i % 10) }) ? 1 : 0;
+    CHECK(admitted == 100);
 }
 
-// Symptom: a router that stands still is told to callers like the others. Few requests come through it any more.
-TEST_CASE("a router that is at work all the time is crowded, however few requests come")
+// Guards against a stalled router that is offered to callers like the others, since few requests still pass through it.
+TEST_CASE("a router that is always busy sheds connections, however few requests arrive")
 {
-    CrowdMeter meter(0.12, 1000);
+    AdaptiveRateLimiter meter(0.12, 1000);
     RouterWork work;
     for (int i = 0; i < 30; ++i) {
         work.busy += 100ms;
         work.pieces += 2;
         meter.measure(start + i * 100ms, work, 10);
     }
-    CHECK(meter.isCrowded());
+    CHECK(meter.shouldShedConnections());
 }
 
-TEST_CASE("a router with more connections than it should have is crowded until they have gone")
+TEST_CASE("a router with too many connections sheds them until enough are closed")
 {
-    CrowdMeter meter(0.5, 1000);
+    AdaptiveRateLimiter meter(0.5, 1000);
     meter.measure(start, {}, 10);
     meter.measure(start + 100ms, {}, 900);
-    CHECK(meter.isCrowded());
+    CHECK(meter.shouldShedConnections());
     meter.measure(start + 200ms, {}, 10);
-    CHECK_FALSE(meter.isCrowded());
+    CHECK_FALSE(meter.shouldShedConnections());
 }
 
-// Symptom: one router of an eighth of a core turns away most of a customer's requests while its neighbours idle.
-// Sequence: all of the customer's callers keep to that router, whatever addresses they are told, as long as the
-// platform finds it ready. Cause: it said that it was.
-TEST_CASE("a router that has far more to do than it can carry, and others not, is not ready for a while")
+// Guards against a router with an eighth of a core that refuses most of a customer's requests while its neighbours are
+// idle. All callers of the customer stick to that router, regardless of the addresses that they are offered, as long as
+// it reports that it is ready.
+TEST_CASE("a router that is far overloaded while others are not becomes unready for a while")
 {
     ReadinessGate gate;
     const auto after = [&](Duration t, std::uint32_t own, std::uint32_t fleet) {
@@ -260,37 +260,37 @@
     };
     CHECK(after(0ms, 300, 20));
     CHECK(after(500ms, 300, 20));
-    SECTION("a burst is over before anybody could move")
+    SECTION("a burst ends before callers could have moved")
     {
         CHECK(after(800ms, 90, 20));
         CHECK(after(1500ms, 300, 20));
     }
-    SECTION("it lasts")
+    SECTION("a lasting overload")
     {
         CHECK_FALSE(after(1s, 300, 20));
-        CHECK_FALSE(after(2s, 10, 20)); // They have moved; if it came back at once, so would they.
+        CHECK_FALSE(after(2s, 10, 20)); // Callers have moved; they would come back if it became ready at once.
         CHECK_FALSE(after(20s, 10, 20));
         CHECK(after(22s, 10, 20));
         CHECK(after(23s, 300, 20));
         CHECK_FALSE(after(24s, 300, 20));
     }
-    SECTION("all have much to do: nobody would have room, and callers would find no router at all")
+    SECTION("an overload of the whole fleet: no router has room, and callers would find none at all")
     {
         CHECK(after(1s, 300, 90));
         CHECK(after(10s, 300, 90));
     }
 }
 
-// Symptom: a small customer's requests are refused for six seconds on end, while the largest gets all it can take.
-// Sequence: a caller that repeats at once floods the only router of its zone; the router refuses what its cores can't
-// carry. Cause: it refused whoever came next, and the flood came next nearly always.
-TEST_CASE("a customer that floods a router does not take the others' requests with it")
+// Guards against a small customer whose requests are refused for six seconds in a row while the largest gets all the
+// capacity. A caller that retries at once floods the only router of its zone, and a router that refuses whoever comes
+// next beyond its capacity nearly always admits the flood only.
+TEST_CASE("a customer that floods a router does not displace the requests of others")
 {
-    CrowdMeter meter(0.25, 1000);
-    Machine machine(meter, 0.4, [](Duration) { return 0.25; });
-    const Machine::Load flood { 400, 10, true };
-    machine.play(flood, 3s);
-    const Machine::Seen seen = machine.play(flood, 13s);
-    CHECK(seen.smallTaken >= seen.smallAsked * 95 / 100);
-    CHECK(seen.taken - seen.smallTaken > 1300);
+    AdaptiveRateLimiter meter(0.25, 1000);
+    SimulatedMachine machine(meter, 0.4, [](Duration) { return 0.25; });
+    const SimulatedMachine::Load flood { 400, 10, true };
+    machine.run(flood, 3s);
+    const SimulatedMachine::Result result = machine.run(flood, 13s);
+    CHECK(result.smallCustomerAdmitted >= result.smallCustomerRequests * 95 / 100);
+    CHECK(result.admitted - result.smallCustomerAdmitted > 1300);
 }
--- a/tests/EdgeTest.cpp
+++ b/tests/EdgeTest.cpp
@@ -1,4 +1,4 @@
-// Heartbeats, addresses for callers, planned stops and denials: src/edge.
+// Tests of heartbeats, addresses for callers, planned stops and denials: src/edge.
 
 #include <sagechute/Edge.h>
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a heartbeat survives its encoding, and other bytes are refused")
+TEST_CASE("a heartbeat survives encoding and decoding, and malformed datagrams are rejected")
 {
     const Heartbeat sent { { { "vm" }, 5, "127.0.0.1:1", "127.0.0.1:2", { "z" }, true,
                                { 9, 1500ms, 77, 250ms, std::nullopt, 90s }, 500, 70, HeartbeatScope::Zone },
@@ -35,27 +35,27 @@
     CHECK(read->includedSerial == 41);
     CHECK(read->scope == HeartbeatScope::Zone);
     CHECK(read->capacity == 500);
-    CHECK(read->usePercent == 70);
+    CHECK(read->utilizationPercent == 70);
     CHECK(read->use == sent.use);
     CHECK(read->isReady);
     CHECK_FALSE(decodeHeartbeat("x").ok());
-    CHECK_FALSE(decodeHeartbeat("\xDF\x61\x61\x61\x61").ok()); // A map of 1.6 thousand million entries.
+    CHECK_FALSE(decodeHeartbeat("\xDF\x61\x61\x61\x61").ok()); // A map of 1.6 billion entries.
     CHECK_FALSE(decodeHeartbeat("\x01\xDD\xFF\xFF\xFF\xFF").ok());
     CHECK_FALSE(decodeHeartbeat(encode(sent) + "x").ok());
     CHECK_FALSE(decodeHeartbeat(encode(sent).substr(1)).ok());
     CHECK_FALSE(decodeHeartbeat(encodeCbor(nlohmann::json { 1 })).ok());
 }
 
-TEST_CASE("a router that falls silent leaves the answers to callers")
+TEST_CASE("a router without heartbeats is no longer offered to callers")
 {
-    PeerBoard board;
-    board.heard(start,
+    PeerTable peers;
+    peers.heard(start,
         { { { "p" }, 1, "127.0.0.1:1", "127.0.0.1:2", { "z" }, true, {}, 250, 0, HeartbeatScope::Router }, {}, {} });
-    CHECK(board.alive(start + heartbeatKept, heartbeatKept).size() == 1);
-    CHECK(board.alive(start + heartbeatKept + 1ms, heartbeatKept).empty());
+    CHECK(peers.alive(start + heartbeatTimeout, heartbeatTimeout).size() == 1);
+    CHECK(peers.alive(start + heartbeatTimeout + 1ms, heartbeatTimeout).empty());
 }
 
-TEST_CASE("callers get the routers of their availability zone if there are two or more")
+TEST_CASE("callers are offered the routers of their availability zone if there are two or more")
 {
     const std::vector<EntryPoint> ready { { "a1", { "a" } }, { "a2", { "a" } }, { "b1", { "b" } } };
     CHECK(chooseEntryPoints(ready, { "a" }, "caller") == std::vector<std::string> { "a1", "a2" });
@@ -64,27 +64,27 @@
     CHECK(chooseEntryPoints({}, { "a" }, "caller").empty());
 }
 
-// Symptom: around a planned stop streams are cut off in the middle.
-// Sequence: SIGTERM; a caller connects by an answer that it still keeps; its stream is taken 5 s later and takes 4 s.
-// Cause: new requests were taken until shortly before the process ended.
-TEST_CASE("a stopping router keeps most of the grace period for what it has taken")
+// Guards against streams that a planned stop cuts off. After SIGTERM a caller still connects by cached addresses; its
+// stream is accepted 5 s later and takes 4 s. It breaks if the router accepts requests until shortly before its process
+// ends.
+TEST_CASE("a stopping router reserves most of the grace period for requests that it has accepted")
 {
     const StopTimes times = stopTimes(8s);
-    CHECK(times.stopTaking >= 2s);
-    CHECK(times.end - times.stopTaking >= 4500ms);
+    CHECK(times.stopAccepting >= 2s);
+    CHECK(times.end - times.stopAccepting >= 4500ms);
     CHECK(times.end <= 7500ms);
     rc::prop("for any grace period", [] {
         const Duration grace = std::chrono::milliseconds(*rc::gen::inRange(1, 60000));
         const StopTimes it = stopTimes(grace);
-        RC_ASSERT(it.stopTaking < it.end);
+        RC_ASSERT(it.stopAccepting < it.end);
         RC_ASSERT(it.end < grace);
     });
 }
 
-// Symptom: routers of an eighth of a core lag by seconds, while those of half a core are idle.
-// Sequence: callers choose one of the addresses that they were told at random; there are seven small routers to a large
-// one. Cause: all were told to all.
-TEST_CASE("callers come to routers in proportion to their cores, and each caller is told the same again")
+// Guards against routers with an eighth of a core that lag by seconds while those with half a core are idle. Callers
+// pick one of their addresses at random, so with seven small routers per large one this happens if every router is
+// offered to every caller.
+TEST_CASE("callers are distributed in proportion to the routers' cores, and each caller gets the same addresses again")
 {
     std::vector<EntryPoint> ready { { "large", { "a" }, 500 } };
     for (int i = 0; i < 7; ++i)
@@ -105,44 +105,44 @@
         CHECK(share["small" + std::to_string(i)] < 0.11);
 }
 
-// Symptom: of 31,000 requests of one availability zone 24,000 are refused or find no connection, while the routers of
-// the other three zones are idle. Sequence: a customer whose callers are all in one zone sends ten times its usual.
-// Cause: callers were told only the routers of their own zone, whatever these had to do.
-TEST_CASE("callers of a zone with too much to do are told routers of other zones, no more of them than must be")
+// Guards against the loss of 24,000 of 31,000 requests of one availability zone, refused or without a connection, while
+// the routers of the other three zones are idle. It happens when all callers of a customer that sends ten times its
+// usual rate are in one zone and are only offered the routers of that zone, whatever their load.
+TEST_CASE("callers of an overloaded zone are offered no more routers of other zones than necessary")
 {
-    const auto partAbroad = [](std::uint32_t own, std::uint32_t others) {
+    const auto remoteFraction = [](std::uint32_t own, std::uint32_t others) {
         std::vector<EntryPoint> ready;
         for (int i = 0; i < 10; ++i) {
             ready.push_back({ "a" + std::to_string(i), { "a" }, 250, own });
             ready.push_back({ "b" + std::to_string(i), { "b" }, 250, others });
         }
-        double abroad = 0;
+        double remote = 0;
         constexpr int callers = 500;
         for (int i = 0; i < callers; ++i) {
             const auto told = chooseEntryPoints(ready, { "a" }, "10.9.0." + std::to_string(i));
             const auto far = std::count_if(told.begin(), told.end(), [](const auto& it) { return it[0] == 'b'; });
-            abroad += static_cast<double>(far) / static_cast<double>(told.size()) / callers;
+            remote += static_cast<double>(far) / static_cast<double>(told.size()) / callers;
         }
-        return abroad;
+        return remote;
     };
-    CHECK(partAbroad(crowdedPercent, 0) == 0);
-    CHECK(partAbroad(60, 10) > 0.2);
-    CHECK(partAbroad(60, 10) < 0.45);
-    CHECK(partAbroad(90, 10) > 0.45);
-    // Where all zones have too much to do, going abroad helps nobody.
-    CHECK(partAbroad(90, 90) == 0);
+    CHECK(remoteFraction(highUtilizationPercent, 0) == 0);
+    CHECK(remoteFraction(60, 10) > 0.2);
+    CHECK(remoteFraction(60, 10) < 0.45);
+    CHECK(remoteFraction(90, 10) > 0.45);
+    // If all zones are overloaded, sending callers elsewhere does not help.
+    CHECK(remoteFraction(90, 90) == 0);
 }
 
-TEST_CASE("the use of a zone is the mean over its cores, and only crowded routers are named")
+TEST_CASE("the utilization of a zone is the mean over its cores, and only highly utilized routers are listed")
 {
-    const FleetUse use = sumUse(
+    const FleetUtilization use = summarizeUtilization(
         { { { "large" }, { "a" }, 500, 30 }, { { "small" }, { "a" }, 125, 90 }, { { "far" }, { "b" }, 0, 10 } });
     CHECK(use.zones.at({ "a" }) == 42);
     CHECK(use.zones.at({ "b" }) == 10);
-    CHECK(use.crowded == std::map<VmId, std::uint32_t> { { { "small" }, 90 } });
+    CHECK(use.busyRouters == std::map<VmId, std::uint32_t> { { { "small" }, 90 } });
 }
 
-TEST_CASE("a router with far more to do than the others is left out of callers' answers")
+TEST_CASE("a router with far more load than the others is not offered to callers")
 {
     std::vector<EntryPoint> ready;
     ready.reserve(20);
@@ -152,14 +152,14 @@
     const auto given = chooseEntryPoints(ready, { "a" }, "caller");
     CHECK(given.size() == 19);
     CHECK(std::count(given.begin(), given.end(), "drowned") == 0);
-    // Where all have much to do, none stands out.
+    // If all routers are overloaded, none is left out.
     for (EntryPoint& it : ready)
-        it.usePercent = 300;
+        it.utilizationPercent = 300;
     CHECK(chooseEntryPoints(ready, { "a" }, "caller").size() == 20);
 }
 
-// Guards against a route that was just added being denied by a router whose full link keeps the news from it.
-TEST_CASE("a router whose knowledge is late asks to come back instead of denying a route or a key")
+// Guards against a router that denies a newly added route because its saturated link delays the configuration.
+TEST_CASE("a router with stale knowledge asks callers to retry instead of denying a route or a key")
 {
     CHECK(denialOf(404, false).status == 404);
     CHECK_FALSE(denialOf(404, false).comeBack);
--- a/tests/EventSplitterTest.cpp
+++ b/tests/EventSplitterTest.cpp
@@ -1,4 +1,4 @@
-// Event streams in pieces, with any line ends, and what is left of them at their end: src/edge.
+// Tests of splitting event streams with any chunk sizes and line ends, and of what remains at their end: src/edge.
 
 #include <sagechute/Edge.h>
 
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// What a simple reader makes of a whole stream.
+/// The expected result of splitting a whole stream.
 struct ReferenceRead {
-    std::size_t wholeBytes = 0; ///< Up to the end of the last whole event.
+    std::size_t wholeBytes = 0; ///< Up to the end of the last complete event.
     std::uint64_t events = 0;
     bool isInsideEvent = false;
 };
 
-/// Reads line by line, as the standard's text has it.
+/// Reference implementation that reads line by line, as in the standard.
 ReferenceRead readWhole(const std::string& bytes)
 {
     ReferenceRead read;
@@ -45,8 +45,8 @@
     return read;
 }
 
-/// Feeds bytes in pieces of any size. @return what was passed on.
-std::string feedInPieces(EventSplitter& splitter, std::string bytes)
+/// Feeds the bytes in chunks of random size. @return the output.
+std::string feedInChunks(EventSplitter& splitter, std::string bytes)
 {
     std::string got;
     while (!bytes.empty()) {
@@ -59,9 +59,9 @@
 
 } // namespace
 
-TEST_CASE("events are passed on whole, however their bytes are cut")
+TEST_CASE("only complete events are returned, however the bytes are chunked")
 {
-    rc::prop("the concatenation of what is returned is all whole events", [] {
+    rc::prop("the output is the concatenation of all complete events", [] {
         const unsigned n = *rc::gen::inRange(1U, 20U);
         std::string bytes;
         for (unsigned i = 1; i <= n; ++i)
@@ -76,29 +76,29 @@
             all.erase(0, size);
         }
         RC_ASSERT(got == bytes);
-        RC_ASSERT(splitter.rest() == torn);
+        RC_ASSERT(splitter.remainder() == torn);
         RC_ASSERT(splitter.lastId() == std::to_string(n * 3));
         RC_ASSERT(splitter.events() == n);
-        RC_ASSERT(!splitter.isDisordered());
+        RC_ASSERT(!splitter.hasInvalidEvent());
     });
 }
 
-// Guards against an event that a caller sees twice after its stream went on at another target.
-TEST_CASE("an event that the caller has already is held back")
+// Guards against an event that a caller receives twice after its stream moved to another target.
+TEST_CASE("an event that the caller has already received is withheld")
 {
     EventSplitter splitter("6");
     CHECK(splitter.feed("id: 6\ndata: x\n\nid: 7\ndata: y\n\n").empty());
-    CHECK(splitter.isDisordered());
+    CHECK(splitter.hasInvalidEvent());
     EventSplitter good("6");
     CHECK_FALSE(good.feed("id: 7\r\ndata: y\n\n").empty());
     CHECK(good.lastId() == "7");
 }
 
-// Guards against events that are held back until the end of their stream, and against an end inside one that isn't
-// seen.
-TEST_CASE("a stream with any line ends is split as a simple reader splits it, wherever it is cut")
+// Guards against events that are held back until the end of their stream, and against an end inside an event that goes
+// undetected.
+TEST_CASE("a stream with any line ends and chunk sizes is split like by the reference implementation")
 {
-    rc::prop("lines, comments and cuts at random", [] {
+    rc::prop("random lines, comments and chunk sizes", [] {
         const auto line
             = rc::gen::element<std::string>("data: a", "data", "event: b", ": comment", ":", "", "retry: 3");
         const auto end = rc::gen::element<std::string>("\r\n", "\n", "\r");
@@ -108,16 +108,16 @@
             bytes += *line + *end;
         bytes.resize(bytes.size() - std::min<std::size_t>(bytes.size(), *rc::gen::inRange(0, 4)));
         EventSplitter splitter({});
-        const std::string got = feedInPieces(splitter, bytes);
+        const std::string got = feedInChunks(splitter, bytes);
         const ReferenceRead read = readWhole(bytes);
         RC_ASSERT(got == bytes.substr(0, read.wholeBytes));
-        RC_ASSERT(got + splitter.rest() == bytes);
+        RC_ASSERT(got + splitter.remainder() == bytes);
         RC_ASSERT(splitter.events() == read.events);
         RC_ASSERT(splitter.isInsideEvent() == read.isInsideEvent);
     });
 }
 
-TEST_CASE("an event is passed on with its last line end, before it is known whether a line feed follows")
+TEST_CASE("an event that ends with CR is returned without waiting for a possible LF")
 {
     EventSplitter splitter({});
     CHECK(splitter.feed("id: 1\r\ndata: a\r\n\r") == "id: 1\r\ndata: a\r\n\r");
@@ -128,7 +128,7 @@
     CHECK_FALSE(splitter.isInsideEvent());
 }
 
-TEST_CASE("what stands behind the last event is a part of one unless it is comments or a byte order mark")
+TEST_CASE("bytes after the last event are part of an event unless they are comments or a byte order mark")
 {
     const auto [rest, isInside] = GENERATE(table<std::string, bool>({
         { "", false },
@@ -149,20 +149,20 @@
     CHECK(marked.isInsideEvent() == isInside);
 }
 
-TEST_CASE("the identity of an event behind a byte order mark is known")
+TEST_CASE("the ID of an event after a byte order mark is recognised")
 {
     EventSplitter splitter({});
     CHECK_FALSE(splitter.feed("\xEF\xBB\xBFid: 4\n\n").empty());
     CHECK(splitter.lastId() == "4");
 }
 
-// Guards against a target that takes the router's memory by an event without end.
-TEST_CASE("an event without end is not gathered for ever")
+// Guards against a target that exhausts the router's memory with an endless event.
+TEST_CASE("the size of a buffered event is limited")
 {
     EventSplitter splitter({});
     const std::string piece(64 << 10, 'x');
     for (int i = 0; i < 32; ++i)
         splitter.feed("data: " + piece + "\n");
-    CHECK(splitter.isDisordered());
-    CHECK(splitter.rest().size() < (2 << 20));
+    CHECK(splitter.hasInvalidEvent());
+    CHECK(splitter.remainder().size() < (2 << 20));
 }
--- a/tests/QuarantineTest.cpp
+++ b/tests/QuarantineTest.cpp
@@ -1,4 +1,4 @@
-// Requests that crash targets: src/quarantine.
+// Tests of the quarantine of requests that crash targets: src/quarantine.
 
 #include <sagechute/Quarantine.h>
 
@@ -17,7 +17,7 @@
 constexpr RequestKey crashing = 7;
 constexpr RequestKey innocent = 8;
 
-/// One router's guard under a clock of its own, and the targets as it meets them.
+/// One router's CrashGuard with its own clock, and its interactions with targets.
 struct Router {
     CrashGuard guard;
     TimePoint now { 100s };
@@ -29,12 +29,12 @@
         return now;
     }
 
-    void breakOff(TargetKey target, TimePoint sentAt, RequestKey request)
+    void breakAttempt(TargetKey target, TimePoint sentAt, RequestKey request)
     {
         guard.broke(now, sentAt, target, request, false);
     }
 
-    /// Answers all checks that are due.
+    /// Answers all probes that are due.
     void answerChecks(CheckResult result)
     {
         now += 1s;
@@ -42,12 +42,12 @@
             guard.checked(now, it, result);
     }
 
-    /// A target ends while it runs the request.
+    /// A target exits while it runs the request.
     void crash(TargetKey target, RequestKey request)
     {
         const TimePoint sentAt = send(target);
         now += 50ms;
-        breakOff(target, sentAt, request);
+        breakAttempt(target, sentAt, request);
         answerChecks(CheckResult::Refused);
     }
 
@@ -61,11 +61,11 @@
     Standing standing(RequestKey request) { return guard.standing(now, request); }
 };
 
-void tell(Router& from, Router& to) { to.guard.learn(to.now, from.guard.tell()); }
+void sendRecords(Router& from, Router& to) { to.guard.learn(to.now, from.guard.recordsToSend()); }
 
 } // namespace
 
-TEST_CASE("a request's key depends on its customer and on what it asks")
+TEST_CASE("a request's key depends on its customer and its content")
 {
     const RequestContent content { { "c" }, "POST", "h", "/p?q", "body" };
     const RequestKey key = requestKeyOf(content);
@@ -78,7 +78,7 @@
     CHECK_FALSE(requestKeyFromHex("no key"));
 }
 
-TEST_CASE("a request is run no more once three targets have ended under it")
+TEST_CASE("a request is quarantined once three targets have exited while running it")
 {
     Router router;
     router.crash(first, crashing);
@@ -87,39 +87,39 @@
     router.crash(third, crashing);
     CHECK(router.standing(crashing) == Standing::Quarantined);
     CHECK(router.standing(innocent) == Standing::Clear);
-    CHECK(router.guard.takeNews().quarantined.size() == 1);
+    CHECK(router.guard.takeUpdate().quarantined.size() == 1);
 }
 
-TEST_CASE("a request is not sent on while it is open whether the third target has ended")
+TEST_CASE("a request is not sent on until it is known whether the third target has exited")
 {
     Router router;
     router.crash(first, crashing);
     router.crash(second, crashing);
     const TimePoint sentAt = router.send(third);
-    router.breakOff(third, sentAt, crashing);
+    router.breakAttempt(third, sentAt, crashing);
     CHECK(router.standing(crashing) == Standing::Undecided);
     router.answerChecks(CheckResult::Accepted);
     CHECK(router.standing(crashing) == Standing::Clear);
 }
 
-TEST_CASE("reset connections and spoiled answers blame no request")
+TEST_CASE("connection resets and corrupted responses count against no request")
 {
     Router router;
     for (const TargetKey it : { first, second, third }) {
         const TimePoint sentAt = router.send(it);
-        router.breakOff(it, sentAt, innocent);
+        router.breakAttempt(it, sentAt, innocent);
         router.answerChecks(CheckResult::Accepted);
     }
     CHECK(router.standing(innocent) == Standing::Clear);
     CHECK(router.guard.cases().empty());
 }
 
-TEST_CASE("a target that refuses connections while it still answers has not ended")
+TEST_CASE("a target that refuses connections but still responds has not exited")
 {
     Router router;
     const TimePoint survivor = router.send(first);
     const TimePoint sentAt = router.send(first);
-    router.breakOff(first, sentAt, innocent);
+    router.breakAttempt(first, sentAt, innocent);
     router.answerChecks(CheckResult::Refused);
     CHECK(router.guard.cases().empty());
     router.guard.ended(survivor, first);
@@ -127,7 +127,7 @@
     CHECK(router.guard.cases().size() == 1);
 }
 
-TEST_CASE("a target that says nothing is taken to have ended when its entry goes")
+TEST_CASE("a silent target is considered exited when its entry is removed")
 {
     Router router;
     const TimePoint sentAt = router.send(first);
@@ -136,40 +136,40 @@
     CHECK(router.guard.cases().empty());
     router.guard.entryGone(router.now, first);
     CHECK(router.guard.cases().size() == 1);
-    CHECK(router.guard.takeNews().ends.front().evidence == EndEvidence::EntryGone);
+    CHECK(router.guard.takeUpdate().targetExits.front().evidence == ExitEvidence::EntryGone);
 }
 
-TEST_CASE("a target that is started again before anybody could look has ended all the same")
+TEST_CASE("a target that restarts before it could be probed is considered exited")
 {
     Router router;
     const TimePoint sentAt = router.send(first);
-    router.breakOff(first, sentAt, crashing);
+    router.breakAttempt(first, sentAt, crashing);
     router.answerChecks(CheckResult::Accepted);
     router.guard.replaced(router.now, first);
     CHECK(router.guard.cases().size() == 1);
 }
 
-TEST_CASE("a broken attempt that nothing was found out about counts for nothing after a while")
+TEST_CASE("a broken attempt whose cause is not found is dropped after a while")
 {
     Router router;
     const TimePoint sentAt = router.send(first);
-    router.breakOff(first, sentAt, innocent);
+    router.breakAttempt(first, sentAt, innocent);
     router.now += 11s;
     router.guard.checksDue(router.now);
     router.guard.entryGone(router.now, first);
     CHECK(router.guard.cases().empty());
 }
 
-TEST_CASE("attempts whose end is seen after the target's are its, too")
+TEST_CASE("attempts that are seen to break after their target's exit count for that exit")
 {
     Router router;
     const TimePoint one = router.send(first);
     const TimePoint two = router.send(first);
-    router.breakOff(first, one, crashing);
+    router.breakAttempt(first, one, crashing);
     router.guard.ended(two, first);
     router.answerChecks(CheckResult::Refused);
     const TimePoint late = router.send(first);
-    router.breakOff(first, late, innocent);
+    router.breakAttempt(first, late, innocent);
     CHECK(router.guard.cases().size() == 2);
 }
 
@@ -184,7 +184,7 @@
     CHECK(router.guard.cases().front().targets.size() == 1);
 }
 
-TEST_CASE("ends that different routers saw are added up by all")
+TEST_CASE("exits seen by different routers are added up by all")
 {
     Router a;
     Router b;
@@ -194,123 +194,123 @@
     b.crash(second, crashing);
     c.crash(third, crashing);
     for (Router* it : { &a, &b, &c })
-        tell(*it, fourth);
+        sendRecords(*it, fourth);
     CHECK(fourth.standing(crashing) == Standing::Quarantined);
-    tell(fourth, a);
+    sendRecords(fourth, a);
     CHECK(a.standing(crashing) == Standing::Quarantined);
 }
 
-TEST_CASE("a router that starts long after the verdict learns it from any other")
+TEST_CASE("a router that starts long after the quarantine learns of it from any other")
 {
     Router old;
     for (const TargetKey it : { first, second, third })
         old.crash(it, crashing);
     old.now += 1h;
-    for (unsigned i = 0; i < ownTellings; ++i)
-        old.guard.tell();
+    for (unsigned i = 0; i < ownRecordTransmissions; ++i)
+        old.guard.recordsToSend();
     Router started;
-    tell(old, started);
+    sendRecords(old, started);
     CHECK(started.standing(crashing) == Standing::Quarantined);
 }
 
-TEST_CASE("what was cleared is not brought back by a router that has not heard of it")
+TEST_CASE("a cleared record is not restored by a router that has not heard of the clearing")
 {
     Router a;
     Router b;
     for (const TargetKey it : { first, second, third })
         a.crash(it, crashing);
-    tell(a, b);
+    sendRecords(a, b);
     REQUIRE(a.guard.release(crashing));
     a.now += 1min;
-    for (unsigned i = 0; i < ownTellings; ++i)
-        a.guard.tell();
+    for (unsigned i = 0; i < ownRecordTransmissions; ++i)
+        a.guard.recordsToSend();
     b.now += 1min;
-    tell(b, a);
+    sendRecords(b, a);
     CHECK(a.standing(crashing) == Standing::Clear);
-    tell(a, b);
+    sendRecords(a, b);
     CHECK(b.standing(crashing) == Standing::Clear);
-    CHECK(b.guard.takeNews().released == std::vector<RequestKey> { crashing });
+    CHECK(b.guard.takeUpdate().released == std::vector<RequestKey> { crashing });
     CHECK_FALSE(a.guard.release(crashing));
 }
 
-TEST_CASE("a flood of requests that ended one target each doesn't push out a verdict")
+TEST_CASE("a flood of requests with one exit each does not evict a quarantined request")
 {
-    CrashLedger ledger;
+    CrashRecordSet ledger;
     const TimePoint now { 100s };
     for (const TargetKey it : { first, second, third })
         ledger.merge(now, { crashing, it, false }, 1);
     for (RequestKey it = 1000; it < 20'000; ++it)
         ledger.merge(now + 1s, { it, first, false }, 1);
-    CHECK(ledger.ends(crashing) == 3);
+    CHECK(ledger.exitCount(crashing) == 3);
     CHECK(ledger.cases().size() <= 4096);
-    CHECK(ledger.tell().size() <= 28);
+    CHECK(ledger.recordsToSend().size() <= 28);
 }
 
-TEST_CASE("a router that forgets a request for want of room doesn't tell others that it is cleared")
+TEST_CASE("a router that evicts a request does not tell others that it is cleared")
 {
-    CrashLedger forgetting;
-    CrashLedger other;
+    CrashRecordSet forgetting;
+    CrashRecordSet other;
     const TimePoint now { 100s };
     other.merge(now, { crashing, first, false }, 1);
-    forgetting.merge(now, { crashing, first, false }, ownTellings);
+    forgetting.merge(now, { crashing, first, false }, ownRecordTransmissions);
     for (RequestKey it = 1000; it < 6000; ++it)
         forgetting.merge(now + 1s, { it, first, false }, 1);
-    REQUIRE(forgetting.ends(crashing) == 0);
+    REQUIRE(forgetting.exitCount(crashing) == 0);
     for (int i = 0; i < 500; ++i) {
-        for (const CrashRecord& it : forgetting.tell()) {
+        for (const CrashRecord& it : forgetting.recordsToSend()) {
             if (it.request == crashing)
                 other.merge(now, it, 1);
         }
     }
-    CHECK(other.ends(crashing) == 1);
+    CHECK(other.exitCount(crashing) == 1);
 }
 
-TEST_CASE("a request that is cleared again and again takes no more memory")
+TEST_CASE("a request that is cleared again and again does not use more memory")
 {
-    CrashLedger ledger;
+    CrashRecordSet ledger;
     const TimePoint now { 100s };
     for (TargetKey it = 0; it < 1000; ++it) {
         ledger.merge(now, { innocent, it, false }, 1);
         ledger.clear(innocent);
-        ledger.tell();
+        ledger.recordsToSend();
     }
     ledger.merge(now, { innocent, 2000, false }, 1);
     ledger.merge(now, { innocent, 2001, false }, 1);
     std::set<TargetKey> told;
     for (int i = 0; i < 500; ++i) {
-        for (const CrashRecord& it : ledger.tell())
+        for (const CrashRecord& it : ledger.recordsToSend())
             told.insert(it.target);
     }
     CHECK(told.size() <= 32);
-    CHECK(ledger.ends(innocent) == 2);
+    CHECK(ledger.exitCount(innocent) == 2);
 }
 
-TEST_CASE("all ends of a lost rack are told, a few with each report")
+TEST_CASE("all exits of a lost rack are sent, a few with each report")
 {
     constexpr std::size_t requests = 2000;
-    CrashLedger lost;
-    CrashLedger other;
+    CrashRecordSet lost;
+    CrashRecordSet other;
     const TimePoint now { 100s };
     for (RequestKey it = 0; it < requests; ++it)
-        lost.merge(now, { it, first, false }, ownTellings);
+        lost.merge(now, { it, first, false }, ownRecordTransmissions);
     std::size_t reports = 0;
     while (other.cases().size() < requests && ++reports < 100) {
-        const std::vector<CrashRecord> told = lost.tell();
+        const std::vector<CrashRecord> told = lost.recordsToSend();
         REQUIRE(told.size() <= 28);
         for (const CrashRecord& it : told)
-            other.merge(now, it, passedOnTellings);
+            other.merge(now, it, forwardedRecordTransmissions);
     }
     CHECK(reports < 100);
 }
 
-TEST_CASE("routers that merge the same records in any order, twice or not, come to the same")
+TEST_CASE("routers that merge the same records in any order, once or repeatedly, converge")
 {
-    rc::prop(
-        "order and repeats don't matter", [](const std::vector<std::tuple<std::uint8_t, std::uint8_t, bool>>& rows) {
+    rc::prop("order and repetition do not matter",
+        [](const std::vector<std::tuple<std::uint8_t, std::uint8_t, bool>>& rows) {
             const TimePoint now { 100s };
-            CrashLedger one;
-            CrashLedger two;
-            const auto merge = [&](CrashLedger& ledger, const auto& row) {
+            CrashRecordSet one;
+            CrashRecordSet two;
+            const auto merge = [&](CrashRecordSet& ledger, const auto& row) {
                 const auto& [request, target, isCleared] = row;
                 ledger.merge(now, { RequestKey(request % 4), TargetKey(target % 4), isCleared }, 1);
             };
@@ -321,6 +321,6 @@
             for (std::size_t i = 0; i < rows.size(); i += 2)
                 merge(two, rows[i]);
             for (RequestKey it = 0; it < 4; ++it)
-                RC_ASSERT(one.ends(it) == two.ends(it));
+                RC_ASSERT(one.exitCount(it) == two.exitCount(it));
         });
 }
--- a/tests/RelayWorld.cpp
+++ b/tests/RelayWorld.cpp
@@ -11,11 +11,11 @@
 
     constexpr unsigned routers = 3;
     constexpr unsigned targets = 4;
-    constexpr unsigned pieces = 5;
+    constexpr unsigned eventsPerStream = 5;
     constexpr unsigned callerRetries = 2;
     constexpr Duration timeout = 3s;
-    constexpr Duration between = 20ms;
-    constexpr double unframedPart = 0.5; ///< Of the streams: they end with their connection.
+    constexpr Duration requestInterval = 20ms;
+    constexpr double unframedFraction = 0.5; ///< Fraction of the streams that end with their connection.
 
     enum RouteIndex : unsigned { Idempotent, Once, Resumable, Plain, RouteCount };
 
@@ -47,12 +47,12 @@
         return all;
     }
 
-    std::string pieceOf(unsigned number, const std::string& runTag)
+    std::string eventText(unsigned number, const std::string& runTag)
     {
         return "id: " + std::to_string(number) + "\ndata: " + runTag + "\n\n";
     }
 
-    bool saysNotRun(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
+    bool impliesNotRun(int status) { return status == 429 || status == 503 || status == 408 || status == 421; }
 
 } // namespace
 
@@ -62,20 +62,20 @@
     case Breach::RunTwice:
         return "run twice";
     case Breach::FalseNotRun:
-        return "falsely said not to have run";
+        return "wrongly reported as not run";
     case Breach::Mixed:
-        return "mixed answer";
+        return "foreign or truncated response";
     case Breach::Disorder:
-        return "disorder in a stream";
+        return "missing, repeated or foreign event in a stream";
     case Breach::TooManyRuns:
         return "too many runs";
     case Breach::NoEnd:
-        return "no end";
+        return "request without an end";
     }
     return "";
 }
 
-struct RelayWorld::Send final : FlowPort {
+struct RelayWorld::Send final : RequestFlowDelegate {
     Send(RelayWorld& world, unsigned kindOfRoute, std::string requestId, unsigned retries, dispatch::Dispatcher& chosen)
         : owner(world)
         , kind(kindOfRoute)
@@ -86,7 +86,7 @@
     {
     }
 
-    RequestFacts facts() const
+    RequestInfo facts() const
     {
         return { id, &owner.m_table->config().routes[kind], { "s" }, { "c" }, {}, 0, owner.m_now,
             owner.m_now + timeout };
@@ -99,23 +99,23 @@
         return dispatcher.place(now, demand, round);
     }
     void firstAnswer(TimePoint now, dispatch::AttemptId it) override { dispatcher.firstAnswer(now, it); }
-    void attemptEnded(TimePoint now, dispatch::AttemptId it, dispatch::AttemptEnd end, const AnswerEnd&) override
+    void attemptEnded(TimePoint now, dispatch::AttemptId it, dispatch::AttemptEnd end, const ResponseEnd&) override
     {
         dispatcher.ended(now, it, end);
     }
-    void targetSaid(TimePoint, const dispatch::TargetLife&, const dispatch::TargetSignals&) override { }
+    void onTargetSignals(TimePoint, const dispatch::TargetLife&, const dispatch::TargetSignals&) override { }
     dispatch::Refusal giveUp(TimePoint now, const ServiceId& service) override
     {
         return dispatcher.giveUp(now, service);
     }
-    void send(const AttemptOrder& order) override { owner.deliver(*this, order); }
+    void send(const OutgoingAttempt& order) override { owner.deliver(*this, order); }
     void cancel() override { cancelled = lastNumber; }
 
     void startStream(int, const std::vector<net::Field>&) override { isStreaming = true; }
     void write(std::string_view bytes) override { received += bytes; }
     void finish() override { end(200, true); }
     void abort() override { end(0, false); }
-    void respond(const edge::TargetAnswerHead& head, std::string body) override
+    void respond(const edge::TargetResponseHead& head, std::string body) override
     {
         received = std::move(body);
         if (head.status < 300 && (!head.isSigned || received != "answer to " + id))
@@ -132,14 +132,14 @@
         status = answered;
         owner.m_completed += status == 200 ? 1 : 0;
         if (isStreaming)
-            checkPieces(isWhole && status == 200);
-        const bool isPromise = saysNotRun(status);
+            checkEvents(isWhole && status == 200);
+        const bool isPromise = impliesNotRun(status);
         const bool isRetried = status != 200 && status < 600 && (isPromise || kind == Idempotent) && retriesLeft > 0;
         if (isRetried)
-            owner.after(100ms, [this] { owner.sendNext(kind, retriesLeft - 1); });
+            owner.after(100ms, [this] { owner.startRequest(kind, retriesLeft - 1); });
     }
 
-    void checkPieces(bool isComplete)
+    void checkEvents(bool isComplete)
     {
         unsigned expected = 1;
         std::string tag;
@@ -150,18 +150,18 @@
                 owner.m_breaches.insert(Breach::Disorder);
                 return;
             }
-            const std::string piece(rest.substr(0, size + 2));
+            const std::string event(rest.substr(0, size + 2));
             rest.remove_prefix(size + 2);
-            const std::string ownTag = piece.substr(piece.find("data: ") + 6, piece.size());
+            const std::string ownTag = event.substr(event.find("data: ") + 6, event.size());
             if (kind == Plain && !tag.empty() && ownTag != tag)
                 owner.m_breaches.insert(Breach::Disorder);
             tag = ownTag;
-            if (!piece.starts_with("id: " + std::to_string(expected++) + "\n"))
+            if (!event.starts_with("id: " + std::to_string(expected++) + "\n"))
                 owner.m_breaches.insert(Breach::Disorder);
             if (ownTag.find(id + "@") != 0)
                 owner.m_breaches.insert(Breach::Mixed);
         }
-        if (isComplete && expected != pieces + 1)
+        if (isComplete && expected != eventsPerStream + 1)
             owner.m_breaches.insert(Breach::Disorder);
     }
 
@@ -180,15 +180,15 @@
     bool hasLeft = false;
 };
 
-RelayWorld::RelayWorld(std::uint64_t seed, const Troubles& troubles, const FlowRules& rules)
+RelayWorld::RelayWorld(std::uint64_t seed, const FaultRates& faultRates, const FlowRules& rules)
     : m_random(seed)
-    , m_troubles(troubles)
+    , m_faultRates(faultRates)
     , m_rules(rules)
     , m_table(makeTable())
 {
     for (unsigned i = 0; i < routers; ++i) {
         dispatch::DispatchSettings settings;
-        settings.retryRatio = 1e6; // The budget has tests of its own; here repeats are wanted.
+        settings.retryRatio = 1e6; // The retry budget is tested elsewhere; here retries are wanted.
         m_routers.push_back(dispatch::Dispatcher::make(settings, { "z" }, seed + i));
         m_routers.back()->setConfig(m_table);
         m_routers.back()->setTargets(m_now, makeTargets());
@@ -205,13 +205,13 @@
         std::move(call));
 }
 
-void RelayWorld::sendNext(unsigned kind, unsigned retriesLeft)
+void RelayWorld::startRequest(unsigned kind, unsigned retriesLeft)
 {
     const std::string id = "r" + std::to_string(m_sends.size());
     m_sends.push_back(std::make_unique<Send>(*this, kind, id, retriesLeft, *m_routers[m_random.below(routers)]));
     Send& send = *m_sends.back();
     send.flow.begin(m_now);
-    if (chance(m_troubles.leaves)) {
+    if (chance(m_faultRates.leaves)) {
         after(400ms, [this, &send] {
             if (send.hasEnd)
                 return;
@@ -221,79 +221,79 @@
     }
 }
 
-void RelayWorld::deliver(Send& send, const AttemptOrder& order)
+void RelayWorld::deliver(Send& send, const OutgoingAttempt& order)
 {
     send.lastNumber = order.number;
     const unsigned number = order.number;
     const auto ends = [this, &send, number](net::TransferEnd end) {
         after(20ms, [this, &send, number, end] { send.flow.ended(m_now, number, end); });
     };
-    if (chance(m_troubles.unreachable)) {
+    if (chance(m_faultRates.unreachable)) {
         ends(net::TransferEnd::NothingSent);
         return;
     }
-    if (chance(m_troubles.lostRequest)) {
+    if (chance(m_faultRates.lostRequest)) {
         ends(net::TransferEnd::BrokenAfterSend);
         return;
     }
-    if (chance(m_troubles.refused)) {
+    if (chance(m_faultRates.refused)) {
         at(m_now + 5ms, [this, &send, number] {
             send.flow.head(m_now, number, { 503, send.id, true, false, false, {} });
         });
         at(m_now + 6ms, [this, &send, number] { send.flow.ended(m_now, number, net::TransferEnd::Completed); });
         return;
     }
-    if (chance(m_troubles.otherTarget)) {
+    if (chance(m_faultRates.otherTarget)) {
         at(m_now + 5ms, [this, &send, number] {
             send.flow.head(m_now, number, { 421, send.id, true, true, false, {} });
         });
         at(m_now + 6ms, [this, &send, number] { send.flow.ended(m_now, number, net::TransferEnd::Completed); });
         return;
     }
-    // It reaches the target a little later, whatever becomes of the flow meanwhile.
+    // It reaches the target a little later, whatever happens to the flow meanwhile.
     const dispatch::Target target = order.placement.target;
     const std::string resumeAfter = order.resumeAfter;
     after(10ms, [this, &send, number, target, resumeAfter, ends] {
         m_runs.push_back({ target.id, send.id });
         const std::string tag = send.id + "@" + std::to_string(m_runs.size());
-        if (chance(m_troubles.silent))
+        if (chance(m_faultRates.silent))
             return;
-        if (chance(m_troubles.foreign)) {
+        if (chance(m_faultRates.foreign)) {
             send.flow.head(m_now, number, { 200, "another", false, false, true, {} });
             send.flow.bytes(m_now, number, "answer to another");
             ends(net::TransferEnd::Completed);
             return;
         }
-        if (chance(m_troubles.failed)) {
+        if (chance(m_faultRates.failed)) {
             send.flow.head(m_now, number, { 500, send.id, false, false, true, {} });
             send.flow.bytes(m_now, number, "failed");
             send.flow.ended(m_now, number, net::TransferEnd::Completed);
             return;
         }
-        answer(send, number, tag, resumeAfter, chance(m_troubles.lostAnswer) ? m_random.fraction() : 1);
+        answer(send, number, tag, resumeAfter, chance(m_faultRates.lostAnswer) ? m_random.fraction() : 1);
     });
 }
 
 void RelayWorld::answer(
-    Send& send, unsigned number, const std::string& runTag, const std::string& resumeAfter, double brokenPart)
+    Send& send, unsigned number, const std::string& runTag, const std::string& resumeAfter, double sentFraction)
 {
     const bool isStream = send.kind == Resumable || send.kind == Plain;
     std::string body = "answer to " + send.id;
     if (isStream) {
         body.clear();
         const unsigned first = send.kind == Resumable && !resumeAfter.empty() ? std::stoul(resumeAfter) + 1 : 1;
-        for (unsigned i = first; i <= pieces; ++i)
-            body += pieceOf(i, runTag);
+        for (unsigned i = first; i <= eventsPerStream; ++i)
+            body += eventText(i, runTag);
     }
-    auto sent = static_cast<std::size_t>(brokenPart * static_cast<double>(body.size()));
-    const bool isClosedInEvent = !body.empty() && isStream && brokenPart == 1 && chance(m_troubles.closedInEvent);
+    auto sent = static_cast<std::size_t>(sentFraction * static_cast<double>(body.size()));
+    const bool isClosedInEvent = !body.empty() && isStream && sentFraction == 1 && chance(m_faultRates.closedInEvent);
     if (isClosedInEvent)
-        sent = placeInEvent(body);
+        sent = offsetInsideEvent(body);
     TimePoint when = m_now + 5ms;
-    if (brokenPart > 0.1) {
+    if (sentFraction > 0.1) {
         at(when, [this, &send, number] { send.flow.head(m_now, number, { 200, send.id, false, false, true, {} }); });
     }
-    constexpr std::size_t chunk = 17; // Ends in the middle of events.
+    constexpr std::size_t chunk = 17; // Splits events.
     for (std::size_t i = 0; i < sent; i += chunk) {
         when += Duration(static_cast<Duration::rep>(m_random.below(30'000)));
         at(when, [this, &send, number, part = body.substr(i, std::min(chunk, sent - i))] {
@@ -301,25 +301,26 @@
                 send.flow.bytes(m_now, number, part);
         });
     }
-    const bool isUnframed = isClosedInEvent || (isStream && chance(unframedPart));
+    const bool isUnframed = isClosedInEvent || (isStream && chance(unframedFraction));
     const auto wholeEnd = isUnframed ? net::TransferEnd::Closed : net::TransferEnd::Completed;
-    const auto end = brokenPart < 1 ? net::TransferEnd::BrokenAfterSend : wholeEnd;
+    const auto end = sentFraction < 1 ? net::TransferEnd::BrokenAfterSend : wholeEnd;
     at(when + 1ms, [this, &send, number, end] {
         send.flow.ended(m_now, number, send.cancelled == number ? net::TransferEnd::Cancelled : end);
     });
 }
 
-std::size_t RelayWorld::placeInEvent(const std::string& body)
+std::size_t RelayWorld::offsetInsideEvent(const std::string& body)
 {
-    const std::size_t place = 1 + m_random.below(body.size() - 1);
-    return body.substr(0, place).ends_with("\n\n") ? place - 1 : place;
+    const std::size_t offset = 1 + m_random.below(body.size() - 1);
+    return body.substr(0, offset).ends_with("\n\n") ? offset - 1 : offset;
 }
 
-std::set<Breach> RelayWorld::play(unsigned requests)
+std::set<Breach> RelayWorld::run(unsigned requests)
 {
     for (unsigned i = 0; i < requests; ++i)
-        at(m_now + i * between, [this] { sendNext(static_cast<unsigned>(m_random.below(RouteCount)), callerRetries); });
-    const TimePoint last = m_now + requests * between + 4 * timeout;
+        at(m_now + i * requestInterval,
+            [this] { startRequest(static_cast<unsigned>(m_random.below(RouteCount)), callerRetries); });
+    const TimePoint last = m_now + requests * requestInterval + 4 * timeout;
     for (; m_now < last; m_now += 1ms) {
         while (!m_events.empty() && m_events.begin()->first <= m_now) {
             const auto call = std::move(m_events.begin()->second);
@@ -347,7 +348,7 @@
             m_breaches.insert(Breach::NoEnd);
         if (!send->mayRepeat() && ran > 1)
             m_breaches.insert(Breach::RunTwice);
-        if (!send->mayRepeat() && ran > 0 && saysNotRun(send->status))
+        if (!send->mayRepeat() && ran > 0 && impliesNotRun(send->status))
             m_breaches.insert(Breach::FalseNotRun);
         if (ran > m_table->config().routes[send->kind].attempts)
             m_breaches.insert(Breach::TooManyRuns);
--- a/tests/RelayWorld.h
+++ b/tests/RelayWorld.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Several routers' request flows under a virtual clock, with callers that retry as they are told, targets that count
-/// what they run, and a transport that loses, breaks, delays and crosses answers.
+/// Simulates the request flows of several routers under a virtual clock, with callers that retry as instructed, targets
+/// that count what they run, and a transport that loses, breaks, delays and mixes up responses.
 
 #include <sagechute/Relay.h>
 
@@ -11,40 +11,39 @@
 
 namespace sagechute::relay {
 
-/// What must never happen.
+/// Violations of the invariants.
 enum class Breach {
     RunTwice, ///< A request that must not be repeated ran more than once.
-    FalseNotRun, ///< A caller was told that a request had not run, and it had, or did later.
-    Mixed, ///< An answer of another request, or half an answer that looks whole.
-    Disorder, ///< A stream with a piece missing, doubled, or of another run.
-    TooManyRuns, ///< On more targets than the route allows.
+    FalseNotRun, ///< A caller was told that a request had not run, but it had, or did later.
+    Mixed, ///< A response to another request, or a truncated response that looks complete.
+    Disorder, ///< A stream with an event missing, repeated, or of another run.
+    TooManyRuns, ///< More runs than the route allows.
     NoEnd, ///< A request without an end.
 };
 
 std::string toString(Breach);
 
-/// What the transport and the targets do wrong, as probabilities for one attempt.
-struct Troubles {
+/// Faults of the transport, the targets and the callers, as probabilities per attempt.
+struct FaultRates {
     double unreachable = 0.05; ///< The connection is refused.
-    double lostRequest = 0.05; ///< It breaks after the request left; the target never saw it.
-    double lostAnswer = 0.1; ///< The target runs it, and its connection breaks at some point of the answer.
-    double closedInEvent
-        = 0.05; ///< As lostAnswer, but inside an event of a stream whose end is that of its connection.
-    double silent = 0.05; ///< The target runs it and says nothing.
-    double refused = 0.1; ///< The target says that it has not run and will not run it.
-    double otherTarget = 0.03; ///< Another target has the address by now.
-    double failed = 0.1; ///< The target runs it and says that it failed.
-    double foreign = 0.05; ///< A late answer of another request comes first, then the connection closes.
-    double leaves = 0.05; ///< The caller leaves before its answer.
+    double lostRequest = 0.05; ///< The connection breaks after sending; the target never receives the request.
+    double lostAnswer = 0.1; ///< The target runs it, and the connection breaks during the response.
+    double closedInEvent = 0.05; ///< As lostAnswer, but inside an event of a stream that ends with its connection.
+    double silent = 0.05; ///< The target runs it and never responds.
+    double refused = 0.1; ///< The target states that it has not run and will not run it.
+    double otherTarget = 0.03; ///< Another target has the address now.
+    double failed = 0.1; ///< The target runs it and reports a failure.
+    double foreign = 0.05; ///< A late response to another request arrives first, then the connection closes.
+    double leaves = 0.05; ///< The caller disconnects before its response.
 };
 
-/// Plays requests and notes what must not happen.
+/// Simulates requests and records breaches.
 class RelayWorld {
 public:
-    RelayWorld(std::uint64_t seed, const Troubles&, const FlowRules&);
+    RelayWorld(std::uint64_t seed, const FaultRates&, const FlowRules&);
     ~RelayWorld();
 
-    std::set<Breach> play(unsigned requests);
+    std::set<Breach> run(unsigned requests);
 
     unsigned completed() const { return m_completed; }
 
@@ -54,23 +53,23 @@
         std::string requestId;
     };
 
-    /// One send of a caller, with an identity of its own.
+    /// One request of a caller, with its own ID.
     struct Send;
 
-    void sendNext(unsigned kind, unsigned retriesLeft);
+    void startRequest(unsigned kind, unsigned retriesLeft);
     void at(TimePoint, std::function<void()>);
     void step();
     void after(Duration most, std::function<void()>);
-    void deliver(Send&, const AttemptOrder&);
-    void answer(Send&, unsigned number, const std::string& runTag, const std::string& resumeAfter, double brokenPart);
+    void deliver(Send&, const OutgoingAttempt&);
+    void answer(Send&, unsigned number, const std::string& runTag, const std::string& resumeAfter, double sentFraction);
 
-    /// @return a place inside an event of @p body.
-    std::size_t placeInEvent(const std::string& body);
+    /// @return an offset inside an event of @p body.
+    std::size_t offsetInsideEvent(const std::string& body);
     void checkEnds();
     bool chance(double probability) { return m_random.fraction() < probability; }
 
     SeededRandom m_random;
-    const Troubles m_troubles;
+    const FaultRates m_faultRates;
     const FlowRules m_rules;
     TimePoint m_now { std::chrono::seconds(100) };
     std::shared_ptr<const dispatch::RoutingTable> m_table;
--- a/tests/ReportsTest.cpp
+++ b/tests/ReportsTest.cpp
@@ -1,4 +1,5 @@
-// Who tells whom of its load, and what the sums hold: ReportPlan, RelayDesk and OwnReports of src/edge.
+// Tests of which routers exchange load reports and what the sums include: ReportPlan, LoadReportAggregator and
+// SentReports of src/edge.
 
 #include <sagechute/Edge.h>
 
@@ -36,7 +37,7 @@
     CHECK_FALSE(plan.relay);
 }
 
-// Load pattern: fleets of tens and hundreds of routers, each with a few requests a second.
+// Load pattern: fleets of tens to hundreds of routers, each with a few requests per second.
 TEST_CASE("in a large fleet a router sends one report, and each zone has one relay")
 {
     for (const unsigned each : { 20U, 90U }) {
@@ -60,8 +61,8 @@
     }
 }
 
-// Symptom: a relay of an eighth of a core is late with everything, and so are the requests that it takes.
-// Cause: it reads and writes a report for each router of its zone; the routers with more cores did not.
+// Guards against a relay with an eighth of a core, which is late with its own requests because it reads and writes a
+// report for each router of its zone, while routers with more cores are available.
 TEST_CASE("the relay of a zone is one of its routers with the most cores")
 {
     auto all = routers(2, 10);
@@ -74,9 +75,9 @@
     CHECK(planReports(all, all[10].vm).isRelay);
 }
 
-TEST_CASE("a relay tells all routers one sum, of which each takes its own part off, once for prefixes")
+TEST_CASE("a relay sends all routers one sum, each router subtracts its own report, and prefixes are sent once")
 {
-    RelayDesk desk;
+    LoadReportAggregator aggregator;
     dispatch::LoadReport one;
     one.serial = 4;
     one.targets[1] = { 10, 1, 100 };
@@ -86,88 +87,88 @@
     two.serial = 9;
     two.targets[1] = { 20, 2, 200 };
     two.placed[1].shared = { { 7, 1 }, { 8, 3 } };
-    desk.memberReported(start, { "a" }, one);
-    desk.memberReported(start, { "b" }, two);
-    desk.zoneReported(start, { "far" }, one);
-    const dispatch::LoadReport zone = desk.zoneSum(start);
+    aggregator.setRouterReport(start, { "a" }, one);
+    aggregator.setRouterReport(start, { "b" }, two);
+    aggregator.setZoneReport(start, { "far" }, one);
+    const dispatch::LoadReport zone = aggregator.zoneSum(start);
     CHECK(zone.targets.at(1).tokensToRead == 30);
-    const dispatch::LoadReport all = desk.sum(start, zone);
+    const dispatch::LoadReport all = aggregator.sum(start, zone);
     CHECK(all.targets.at(1).tokensToRead == 40);
     CHECK(all.placed.at(1).shared.size() == 2);
     CHECK(all.placed.at(1).ownTokens == 300);
-    CHECK(desk.includedSerial(start, { "a" }) == 4);
-    CHECK(desk.includedSerial(start, { "b" }) == 9);
-    CHECK(desk.includedSerial(start, { "unheard" }) == 0);
-    CHECK(desk.includedSerial(start + 5s, { "a" }) == 0);
+    CHECK(aggregator.includedSerial(start, { "a" }) == 4);
+    CHECK(aggregator.includedSerial(start, { "b" }) == 9);
+    CHECK(aggregator.includedSerial(start, { "unheard" }) == 0);
+    CHECK(aggregator.includedSerial(start + 5s, { "a" }) == 0);
 
-    OwnReports ownReports;
-    ownReports.sent(one);
+    SentReports sentReports;
+    sentReports.sent(one);
     dispatch::LoadReport forA = all;
-    REQUIRE(ownReports.takeOff(forA, 4));
+    REQUIRE(sentReports.subtractFrom(forA, 4));
     CHECK(forA.targets.at(1).tokensToRead == 30);
     CHECK(forA.customers.at({ "c" }).granted == 8);
 
-    desk.passedOn();
-    CHECK(desk.sum(start, desk.zoneSum(start)).placed.empty());
-    CHECK(desk.sum(start, desk.zoneSum(start)).targets.at(1).active == 4);
-    CHECK(desk.zoneSum(start + 5s).targets.empty());
+    aggregator.clearForwardedPrompts();
+    CHECK(aggregator.sum(start, aggregator.zoneSum(start)).placed.empty());
+    CHECK(aggregator.sum(start, aggregator.zoneSum(start)).targets.at(1).active == 4);
+    CHECK(aggregator.zoneSum(start + 5s).targets.empty());
 }
 
-TEST_CASE("a sum tells how old the oldest report in it is, and a relay which reports are too old to be in it")
+TEST_CASE(
+    "a sum states the age of its oldest report, and a relay names the sources whose reports are too old to include")
 {
-    RelayDesk desk;
+    LoadReportAggregator aggregator;
     dispatch::LoadReport far;
     far.age = 150ms;
-    desk.zoneReported(start, { "far" }, far);
-    desk.memberReported(start + 100ms, { "vm" }, {});
-    CHECK(desk.zoneSum(start + 300ms).age == 200ms);
-    CHECK(desk.sum(start + 300ms, desk.zoneSum(start + 300ms)).age == 450ms);
-    CHECK(desk.late(start + 300ms).empty());
-    CHECK(desk.late(start + 1250ms) == std::set<std::string> { "far" });
-    CHECK(desk.late(start + 5s) == std::set<std::string> { "far", "vm" });
+    aggregator.setZoneReport(start, { "far" }, far);
+    aggregator.setRouterReport(start + 100ms, { "vm" }, {});
+    CHECK(aggregator.zoneSum(start + 300ms).age == 200ms);
+    CHECK(aggregator.sum(start + 300ms, aggregator.zoneSum(start + 300ms)).age == 450ms);
+    CHECK(aggregator.staleSources(start + 300ms).empty());
+    CHECK(aggregator.staleSources(start + 1250ms) == std::set<std::string> { "far" });
+    CHECK(aggregator.staleSources(start + 5s) == std::set<std::string> { "far", "vm" });
 }
 
-// Guards against a flood that seems small because a zone's relay stands still for a moment.
-TEST_CASE(
-    "what a silent zone's customers were granted stays in the sums for the window, what it has in flight does not")
+// Guards against a flood that is underestimated because a zone's relay stalls for a moment.
+TEST_CASE("grants of a silent zone's customers stay in the sums for the window, its requests in flight do not")
 {
-    RelayDesk desk;
+    LoadReportAggregator aggregator;
     dispatch::LoadReport far;
     far.targets[1] = { 10, 1, 100 };
     far.customers[{ "c" }] = { 5, 4 };
-    desk.zoneReported(start, { "far" }, far);
-    const dispatch::LoadReport late = desk.sum(start + 2s, {});
+    aggregator.setZoneReport(start, { "far" }, far);
+    const dispatch::LoadReport late = aggregator.sum(start + 2s, {});
     CHECK(late.targets.empty());
     CHECK(late.customers.at({ "c" }).granted == 4);
     CHECK(late.age == 2s);
-    CHECK(desk.sum(start + 5s, {}).customers.empty());
+    CHECK(aggregator.sum(start + 5s, {}).customers.empty());
 }
 
-TEST_CASE("a sum with a report that is no longer remembered, or not yet, is not taken for the others'")
+TEST_CASE("a sum that includes a report no longer or not yet remembered is rejected")
 {
-    OwnReports ownReports;
+    SentReports sentReports;
     dispatch::LoadReport sum;
     sum.targets[1] = { 10, 1, 100 };
-    CHECK(ownReports.takeOff(sum, 0));
+    CHECK(sentReports.subtractFrom(sum, 0));
     CHECK(sum.targets.at(1).tokensToRead == 10);
-    CHECK_FALSE(ownReports.takeOff(sum, 5));
+    CHECK_FALSE(sentReports.subtractFrom(sum, 5));
     dispatch::LoadReport own = sum;
     for (own.serial = 1; own.serial <= 100; ++own.serial)
-        ownReports.sent(own);
-    CHECK_FALSE(ownReports.takeOff(sum, 1));
-    CHECK(ownReports.takeOff(sum, 99));
+        sentReports.sent(own);
+    CHECK_FALSE(sentReports.subtractFrom(sum, 1));
+    CHECK(sentReports.subtractFrom(sum, 99));
     CHECK(sum.targets.at(1).active == 0);
 }
 
-// Symptom: routers of a large fleet take targets for busier, or idler, than they are, for as long as reports are lost.
-// Sequence: reports to the relay, and sums from it, are lost, late or doubled; members fall silent and come back.
-// Cause: a part that is taken off a sum must be the one that is in it.
-TEST_CASE("whatever is lost, late or doubled, a router's view of the others is theirs as of some earlier moment")
+// Guards against routers of a large fleet that over- or underestimate the load of targets while reports are lost.
+// Reports to a relay and its sums are lost, delayed or duplicated, and routers fall silent and return, so the report
+// that a router subtracts from a sum must be the one that the sum includes.
+TEST_CASE("with lost, delayed and duplicated messages, a router's view of the others matches some earlier moment")
 {
-    rc::prop("sums less the own part", [] {
+    rc::prop("sums without the router's own report", [] {
         constexpr std::size_t members = 4;
-        RelayDesk desk;
-        std::array<OwnReports, members> own;
+        LoadReportAggregator aggregator;
+        std::array<SentReports, members> own;
         std::array<std::vector<dispatch::LoadReport>, members> sent;
         std::vector<std::pair<dispatch::LoadReport, std::array<std::uint64_t, members>>> sums;
         const int steps = *rc::gen::inRange(5, 60);
@@ -182,14 +183,14 @@
             own[i].sent(report);
             const auto delivered = *rc::gen::inRange<std::size_t>(0, 4);
             if (delivered > 0 && delivered <= sent[i].size())
-                desk.memberReported(now, { std::to_string(i) }, sent[i][sent[i].size() - delivered]);
+                aggregator.setRouterReport(now, { std::to_string(i) }, sent[i][sent[i].size() - delivered]);
             std::array<std::uint64_t, members> serials {};
             for (std::size_t k = 0; k < members; ++k)
-                serials[k] = desk.includedSerial(now, { std::to_string(k) });
-            sums.emplace_back(desk.sum(now, desk.zoneSum(now)), serials);
-            // A sum reaches a member now, or one from before does.
+                serials[k] = aggregator.includedSerial(now, { std::to_string(k) });
+            sums.emplace_back(aggregator.sum(now, aggregator.zoneSum(now)), serials);
+            // A member receives this sum or an earlier one.
             auto [sum, included] = sums[*rc::gen::inRange<std::size_t>(0, sums.size())];
-            if (!own[i].takeOff(sum, included[i]))
+            if (!own[i].subtractFrom(sum, included[i]))
                 continue;
             dispatch::LoadReport expected;
             for (std::size_t k = 0; k < members; ++k) {
