--- a/apps/sagechute-edge/CrashWatch.cpp
+++ b/apps/sagechute-edge/CrashWatch.cpp
@@ -88,8 +88,8 @@
 std::string CrashWatch::nameOf(quarantine::TargetKey key) const
 {
     for (const dispatch::Target& it : m_state.withTargets([](const news::TargetRoster& it) { return it.targets(); })) {
-        if (dispatch::keyOf(it.life()) == key)
-            return toString(it.life());
+        if (dispatch::keyOf(it.incarnation()) == key)
+            return toString(it.incarnation());
     }
     return std::to_string(key);
 }
--- a/apps/sagechute-edge/EdgeMetrics.cpp
+++ b/apps/sagechute-edge/EdgeMetrics.cpp
@@ -101,15 +101,15 @@
     m_knowledgeAgeParts.Observe(seconds(age) / seconds(bound));
 }
 
-void EdgeMetrics::shares(const dispatch::SharesView& view)
+void EdgeMetrics::shares(const dispatch::FairShareSnapshot& view)
 {
     double granted = 0;
     for (const auto& [id, use] : view.customers)
         granted += use.granted;
     m_shareLevel.Set(view.level);
     m_grantedTokens.Set(granted);
-    if (view.sumsAge)
-        m_sumsAge.Observe(seconds(*view.sumsAge));
+    if (view.oldestReportAge)
+        m_sumsAge.Observe(seconds(*view.oldestReportAge));
 }
 
 void EdgeMetrics::targetEnded(quarantine::EndEvidence evidence)
--- a/apps/sagechute-edge/EdgeMetrics.h
+++ b/apps/sagechute-edge/EdgeMetrics.h
@@ -29,7 +29,7 @@
     prometheus::Counter& unreadableRecords() { return m_unreadableRecords; }
 
     /// Shares of the engines as this router sees them.
-    void shares(const dispatch::SharesView&);
+    void shares(const dispatch::FairShareSnapshot&);
 
     /// @param age since when something in the store may be unknown. @param bound at which that is too long.
     void knowledgeAge(Duration age, Duration bound);
--- a/apps/sagechute-edge/EdgeState.h
+++ b/apps/sagechute-edge/EdgeState.h
@@ -40,7 +40,8 @@
     }
 
     /// Puts in force what a target said of itself. @return what of it was not known.
-    dispatch::TargetSignals targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&);
+    dispatch::TargetSignals targetSaid(
+        TimePoint now, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&);
 
     /// Calls @p use with the list of targets.
     template <typename Use> auto withTargets(Use&& use) const
--- a/apps/sagechute-edge/Front.cpp
+++ b/apps/sagechute-edge/Front.cpp
@@ -64,7 +64,7 @@
     if (!m_crowd.takes(order.arrived, order.customer)) {
         ++m_tools.state.requestsCrowdedOut;
         m_tools.state.withDispatcher(
-            [&](dispatch::Dispatcher& it) { it.turnedAway(order.arrived, order.customer, order.facts.prompt); });
+            [&](dispatch::Dispatcher& it) { it.shed(order.arrived, order.customer, order.facts.prompt); });
         return Verdict { unavailable, "router-crowded", crowdComeBack };
     }
     ++m_tools.state.requestsTaken;
@@ -93,8 +93,8 @@
         { { "id", order.facts.id }, { "route", order.route ? order.route->name : "none" },
             { "customer", order.customer.value }, { "config", version }, { "status", std::to_string(verdict.status) },
             { "outcome", std::string(verdict.reason) }, { "caller", exchange.request().peerAddress },
-            { "prompt-tokens", std::to_string(order.facts.prompt.tokensIn) },
-            { "answer-tokens", std::to_string(order.facts.prompt.tokensOut) } });
+            { "prompt-tokens", std::to_string(order.facts.prompt.inputTokens) },
+            { "answer-tokens", std::to_string(order.facts.prompt.maxOutputTokens) } });
 }
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/Listeners.cpp
+++ b/apps/sagechute-edge/Listeners.cpp
@@ -147,7 +147,7 @@
     nlohmann::json targets = nlohmann::json::array();
     for (const dispatch::Target& it : m_tools.state.withTargets([](const auto& it) { return it.targets(); }))
         targets.push_back({ { "id", it.id.value }, { "service", it.service.value }, { "address", it.address },
-            { "born", it.born }, { "zone", it.zone.value }, { "draining", it.draining } });
+            { "born", it.startedAtMs }, { "zone", it.zone.value }, { "draining", it.draining } });
     nlohmann::json peers = nlohmann::json::array();
     for (const Peer& it : m_tools.fleet.peers(steadyNow()))
         peers.push_back({ { "vm", it.vm.value }, { "zone", it.zone.value }, { "ready", it.isReady },
--- a/apps/sagechute-edge/Options.cpp
+++ b/apps/sagechute-edge/Options.cpp
@@ -128,7 +128,7 @@
     settings.retrySlack = retrySlack;
     settings.retryWindow = fromSeconds(retryWindowSeconds);
     settings.leastRouters = static_cast<unsigned>(leastRouters);
-    settings.homesTrusted = isFirstStart ? Duration::zero() : homesTrustedAfterRestart;
+    settings.warmStartDuration = isFirstStart ? Duration::zero() : homesTrustedAfterRestart;
     return settings;
 }
 
--- a/apps/sagechute-edge/PeerState.cpp
+++ b/apps/sagechute-edge/PeerState.cpp
@@ -27,7 +27,7 @@
             return item;
         const dispatch::Target& target = *change.target;
         for (json field : { json(target.service.value), json(target.address), json(target.zone.value),
-                 json(target.slots), json(target.draining), json(target.born) })
+                 json(target.slots), json(target.draining), json(target.startedAtMs) })
             item.push_back(std::move(field));
         return item;
     }
--- a/apps/sagechute-edge/Relay.cpp
+++ b/apps/sagechute-edge/Relay.cpp
@@ -47,7 +47,7 @@
 
     class AttemptSink final : public net::TransferSink {
     public:
-        AttemptSink(std::shared_ptr<Relay> relay, unsigned number, dispatch::TargetLife target)
+        AttemptSink(std::shared_ptr<Relay> relay, unsigned number, dispatch::TargetIncarnation target)
             : m_relay(std::move(relay))
             , m_number(number)
             , m_target(std::move(target))
@@ -69,7 +69,7 @@
 
         const std::shared_ptr<Relay> m_relay;
         const unsigned m_number;
-        const dispatch::TargetLife m_target;
+        const dispatch::TargetIncarnation m_target;
     };
 
 } // namespace
@@ -129,7 +129,7 @@
     });
 }
 
-bool Relay::isStillWanted(unsigned number, const dispatch::TargetLife& target)
+bool Relay::isStillWanted(unsigned number, const dispatch::TargetIncarnation& target)
 {
     if (!m_order.exchange->isCallerThere()) {
         handle([](relay::RequestFlow& flow, TimePoint now) { flow.callerGone(now); });
@@ -158,7 +158,7 @@
     handle([&](relay::RequestFlow& flow, TimePoint now) { flow.ended(now, number, result.end); });
 }
 
-dispatch::Decision Relay::place(TimePoint now, const dispatch::Demand& demand, dispatch::Round round)
+dispatch::Decision Relay::place(TimePoint now, const dispatch::PlacementRequest& demand, dispatch::AttemptKind round)
 {
     return m_tools.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.place(now, demand, round); });
 }
@@ -176,7 +176,7 @@
     m_tools.metrics.answerEnded(answerEnd);
 }
 
-void Relay::targetSaid(TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
+void Relay::targetSaid(TimePoint now, const dispatch::TargetIncarnation& target, const dispatch::TargetSignals& signals)
 {
     m_tools.metrics.targetSaid(signals);
     const dispatch::TargetSignals unknown = m_tools.state.targetSaid(now, target, signals);
@@ -202,7 +202,7 @@
     request.unackedTimeout = unackedTimeout;
     request.sendOnce = true;
     m_transfer = m_tools.client.start(std::move(request),
-        std::make_unique<AttemptSink>(shared_from_this(), order.number, order.placement.target.life()));
+        std::make_unique<AttemptSink>(shared_from_this(), order.number, order.placement.target.incarnation()));
 }
 
 void Relay::cancel() { m_tools.client.cancel(m_transfer); }
@@ -236,11 +236,11 @@
     sendAnswer({ head.status, head.relayed, std::move(body) });
 }
 
-void Relay::refuse(int status, std::string_view reason, std::optional<Duration> comeBack)
+void Relay::refuse(int status, std::string_view reason, std::optional<Duration> retryAfter)
 {
-    if (comeBack)
+    if (retryAfter)
         m_tools.metrics.refusal(m_flow.record().refusal.reason);
-    sendAnswer(m_tools.callers.refusal(status, reason, comeBack));
+    sendAnswer(m_tools.callers.refusal(status, reason, retryAfter));
 }
 
 void Relay::sendAnswer(net::ServerResponse response)
@@ -267,16 +267,16 @@
             { "status", std::to_string(record.status) }, { "outcome", record.outcome },
             { "attempts", record.trace.empty() ? "none" : record.trace.substr(1) }, { "ms", milliseconds(lasted) },
             { "first-ms", milliseconds(record.firstEventAfter) },
-            { "predicted-ms", milliseconds(record.placement.predictedFirst) },
-            { "read-tokens", std::to_string(record.placement.tokensToRead) },
-            { "prompt-tokens", std::to_string(m_order.facts.prompt.tokensIn) },
-            { "answer-tokens", std::to_string(m_order.facts.prompt.tokensOut) },
+            { "predicted-ms", milliseconds(record.placement.predictedFirstEventDelay) },
+            { "read-tokens", std::to_string(record.placement.prefillTokens) },
+            { "prompt-tokens", std::to_string(m_order.facts.prompt.inputTokens) },
+            { "answer-tokens", std::to_string(m_order.facts.prompt.maxOutputTokens) },
             { "wait-ms", milliseconds(admission.wait) }, { "allowed-ms", milliseconds(admission.allowed) },
             { "share-percent", std::to_string(static_cast<int>(admission.share * percent)) },
             { "far-above", admission.isFarAbove ? "yes" : "no" },
-            { "size-helped", admission.isSizeHelped ? "yes" : "no" },
-            { "sums-age-ms", admission.sumsAge ? milliseconds(*admission.sumsAge) : "none" },
-            { "come-back-ms", milliseconds(record.refusal.comeBack) },
+            { "size-helped", admission.isSizeBoosted ? "yes" : "no" },
+            { "sums-age-ms", admission.oldestReportAge ? milliseconds(*admission.oldestReportAge) : "none" },
+            { "come-back-ms", milliseconds(record.refusal.retryAfter) },
             { "targets-offset", std::to_string(known.targetsNext) },
             { "known-ms", milliseconds(unsuspendedNow() - news::knownUntil(known).value_or(TimePoint {})) } });
 }
--- a/apps/sagechute-edge/Relay.h
+++ b/apps/sagechute-edge/Relay.h
@@ -46,7 +46,7 @@
     /// Just before a request leaves: a router that lags behind for seconds would send on requests whose callers have
     /// left or whose targets have asked for no more.
     /// @return false when its caller has gone, or its target takes no more requests.
-    bool isStillWanted(unsigned number, const dispatch::TargetLife&);
+    bool isStillWanted(unsigned number, const dispatch::TargetIncarnation&);
 
     // From the attempt's sink.
     void onHead(unsigned number, int status, const std::vector<net::Field>&);
@@ -54,10 +54,10 @@
     void onEnd(unsigned number, const net::TransferResult&);
 
 private:
-    dispatch::Decision place(TimePoint now, const dispatch::Demand&, dispatch::Round) override;
+    dispatch::Decision place(TimePoint now, const dispatch::PlacementRequest&, dispatch::AttemptKind) override;
     void firstAnswer(TimePoint now, dispatch::AttemptId) override;
     void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const relay::AnswerEnd&) override;
-    void targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) override;
+    void targetSaid(TimePoint now, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&) override;
     dispatch::Refusal giveUp(TimePoint now, const ServiceId&) override;
     void send(const relay::AttemptOrder&) override;
     void cancel() override;
--- a/apps/sagechute-edge/ShareWatch.cpp
+++ b/apps/sagechute-edge/ShareWatch.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-    using CustomerEntry = std::pair<const CustomerId, dispatch::CustomerUse>;
+    using CustomerEntry = std::pair<const CustomerId, dispatch::CustomerUsage>;
 
     /// Below this part of what is asked for, customers are turned away for want of engines or of routers' cores.
     constexpr double enoughGranted = 0.98;
 
-    double askedBy(const dispatch::CustomerUse& use) { return use.asked + use.turnedAway; }
+    double askedBy(const dispatch::CustomerUsage& use) { return use.requested + use.shed; }
 
     /// @return what the customer was granted, as a part of what it could have had beside the best served one.
-    double servedPart(const dispatch::CustomerUse& use, const dispatch::CustomerUse& best)
+    double servedPart(const dispatch::CustomerUsage& use, const dispatch::CustomerUsage& best)
     {
         const double could = std::min(askedBy(use), best.granted);
         return could > 0 ? use.granted / could : 1;
@@ -28,26 +28,27 @@
     {
         if (!it)
             return "none";
-        const dispatch::CustomerUse& use = it->second;
-        return it->first.value + ":" + tokens(use.granted) + "/" + tokens(use.asked + use.turnedAway);
+        const dispatch::CustomerUsage& use = it->second;
+        return it->first.value + ":" + tokens(use.granted) + "/" + tokens(use.requested + use.shed);
     }
 
 } // namespace
 
 void ShareWatch::look(TimePoint now)
 {
-    const dispatch::SharesView view = m_state.withDispatcher([&](dispatch::Dispatcher& it) { return it.shares(now); });
+    const dispatch::FairShareSnapshot view
+        = m_state.withDispatcher([&](dispatch::Dispatcher& it) { return it.shares(now); });
     m_metrics.shares(view);
     const CustomerEntry* most = nullptr;
     double granted = 0;
-    double asked = 0;
+    double requested = 0;
     for (const CustomerEntry& it : view.customers) {
         granted += it.second.granted;
-        asked += askedBy(it.second);
+        requested += askedBy(it.second);
         if (!most || it.second.granted > most->second.granted)
             most = &it;
     }
-    if (granted >= enoughGranted * asked)
+    if (granted >= enoughGranted * requested)
         return;
     const CustomerEntry* least = most;
     for (const CustomerEntry& it : view.customers) {
@@ -56,12 +57,12 @@
     }
     process::log(process::LogLevel::Info, "customer-shares",
         { { "level", std::isfinite(view.level) ? tokens(view.level) : "none" }, { "capacity", tokens(view.capacity) },
-            { "granted", tokens(granted) }, { "asked", tokens(asked) }, { "most", describe(most) },
+            { "granted", tokens(granted) }, { "asked", tokens(requested) }, { "most", describe(most) },
             { "least", describe(least) },
             { "sums-age-ms",
-                view.sumsAge
-                    ? std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(*view.sumsAge).count())
-                    : "none" } });
+                view.oldestReportAge ? std::to_string(
+                    std::chrono::duration_cast<std::chrono::milliseconds>(*view.oldestReportAge).count())
+                                     : "none" } });
 }
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/StoreFollower.cpp
+++ b/apps/sagechute-edge/StoreFollower.cpp
@@ -156,7 +156,7 @@
     for (const news::TargetChange& it : found->changes) {
         if (!it.target || it.target->draining)
             process::log(process::LogLevel::Info, it.target ? "target-draining" : "target-gone",
-                { { "target", it.target ? toString(it.target->life()) : it.id.value },
+                { { "target", it.target ? toString(it.target->incarnation()) : it.id.value },
                     { "offset", std::to_string(it.offset) } });
     }
     return true;
--- a/include/sagechute/Dispatch.h
+++ b/include/sagechute/Dispatch.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// Deciding, in one router and without a word to another, where a request goes, whether it is turned away, and what
-/// follows a failed attempt. Decision logic without sockets, threads or clock: the adapters around it decode requests,
-/// send them and say how they ended.
+/// Request placement for one router: target selection, admission control and retry decisions, made without coordinating
+/// with other routers at decision time. The logic uses no sockets, threads or clock; adapters decode requests, send
+/// them and report how each attempt ended.
 
 #include <sagechute/Quarantine.h>
 
@@ -19,357 +19,363 @@
 
 namespace sagechute::dispatch {
 
-/// What may be repeated, and how the answer comes.
+/// Retry semantics of a request, and whether its answer is streamed.
 enum class RequestKind {
     Idempotent, ///< May run more than once.
     Once, ///< Must not run a second time.
-    Stream, ///< Answered event by event; runs once, but may be resumed after an event where its route says so.
+    Stream, ///< Answered as an event stream; runs once, but may be resumed after an event if the route allows it.
 };
 
 /// @return "idempotent", "once" or "stream".
 std::string_view toString(RequestKind);
 
-/// One of the services among which a route's requests are split.
+/// One of the services that a route's requests are split among.
 struct ServiceShare {
     ServiceId service;
     double weight = 1; ///< Relative to the other shares of the route.
 };
 
-/// Which requests belong together, and how they are to be served.
+/// Matches requests by host and path prefix, and says how they are served.
 struct Route {
     std::string name;
     std::string host;
     std::string pathPrefix; ///< Begins and ends with a slash.
     RequestKind kind = RequestKind::Once;
-    Duration timeout {}; ///< Longest time that a caller is kept waiting for the end of its answer.
-    Duration goal {}; ///< Within it the answer, or a stream's first event, is on time.
-    unsigned attempts = 1; ///< Most targets that one request may run on.
+    Duration timeout {}; ///< Upper bound on the time from arrival to the end of the answer.
+    Duration goal {}; ///< Latency objective for the answer or, for a stream, its first event.
+    unsigned attempts = 1; ///< Maximum number of targets that one request may run on.
     int priority = 0; ///< 0 is the highest.
     bool isPublic = false; ///< Callers need no key.
-    bool isResumable = false; ///< A broken stream may go on at another target after its last event.
+    bool isResumable = false; ///< A broken stream may be resumed on another target after its last event.
     std::vector<ServiceShare> services;
 };
 
-/// A model engine's measures; all targets of a service have the same.
+/// Capacity of a model engine; identical for all targets of a service.
 struct EngineProfile {
-    unsigned slots = 0; ///< Requests in one batch.
-    std::uint64_t cacheTokens = 0; ///< Memory for running requests and kept prompts, in tokens.
-    unsigned eventTokens = 1; ///< Tokens in an event of a stream.
+    unsigned slots = 0; ///< Maximum number of requests in one batch.
+    std::uint64_t cacheTokens = 0; ///< KV cache size in tokens, shared by running requests and cached prompts.
+    unsigned tokensPerEvent = 1; ///< Tokens in one event of a stream.
 };
 
 struct Service {
     ServiceId id;
-    unsigned maxConnections = 0; ///< That one target accepts of all routers together; 0: no bound.
-    std::optional<EngineProfile> engine; ///< Absent: a plain application.
+    unsigned maxConnections = 0; ///< Per target, over all routers; 0: unlimited.
+    std::optional<EngineProfile> engine; ///< Absent for a plain application.
 };
 
-/// A customer and the keys by which its callers are known.
+/// A customer and the API keys of its callers.
 struct Customer {
     CustomerId id;
     std::vector<std::string> keys;
 };
 
-/// What callers may send.
+/// Limits on caller connections and request bodies.
 struct CallerLimits {
     std::size_t bodyBytes = 4 << 20;
-    Duration idle = std::chrono::seconds(60); ///< A connection without a request stays open for so long.
+    Duration idle = std::chrono::seconds(60); ///< A connection without a request is closed after this time.
 };
 
-/// One version of everything that the operators decide.
+/// One version of the operator-defined configuration.
 struct FleetConfig {
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
     std::vector<Customer> customers; ///< Empty: no request needs a key.
     CallerLimits limits;
-    double tokensPerSecond = 0; ///< What all engines together produce; 0: not told.
+    double tokensPerSecond = 0; ///< Configured total throughput of all engines; 0: unknown.
 };
 
-/// One life of a target. A target may start again under the name that it had; it then holds and knows nothing of
-/// before: what was kept in it, its failures and its leaving belong to the life, not to the name.
-struct TargetLife {
+/// Identifies one incarnation of a target. A target that restarts under the same name has lost its prefix cache and
+/// running requests, so caches, failures and draining state are tracked per incarnation, not per name.
+struct TargetIncarnation {
     TargetId id;
-    std::int64_t born = 0; ///< Its start by its own clock, in Unix milliseconds; 0: not told.
+    std::int64_t startedAtMs = 0; ///< Start time by the target's own clock, in Unix milliseconds; 0: unknown.
 
-    auto operator<=>(const TargetLife&) const = default;
+    auto operator<=>(const TargetIncarnation&) const = default;
 };
 
-/// @return "NAME", or "NAME@BORN" where it told its start.
-std::string toString(const TargetLife&);
+/// @return "NAME", or "NAME@STARTED_AT_MS" if the start time is known.
+std::string toString(const TargetIncarnation&);
 
 /// A process that answers requests of one service.
 struct Target {
-    TargetId id; ///< Its name, the same in all its lives.
+    TargetId id; ///< Name; unchanged across restarts.
     ServiceId service;
-    std::string address; ///< "ADDRESS:PORT"; may be taken again by another target after this one has gone.
+    std::string address; ///< "ADDRESS:PORT"; may be reused by another target after this one has gone.
     ZoneId zone;
     unsigned slots = 0;
     bool draining = false;
-    std::int64_t born = 0; ///< See TargetLife.
+    std::int64_t startedAtMs = 0; ///< See TargetIncarnation.
 
-    TargetLife life() const { return { id, born }; }
+    TargetIncarnation incarnation() const { return { id, startedAtMs }; }
 
     bool operator==(const Target&) const = default;
 };
 
-/// A configuration with its lookups. Immutable.
+/// A configuration with lookup indexes. Immutable.
 class RoutingTable {
 public:
     static std::shared_ptr<const RoutingTable> make(FleetConfig);
 
     const FleetConfig& config() const { return m_config; }
 
-    /// @param target path and query as sent.
-    /// @return the route of that host with the longest prefix of the path, or null.
+    /// @param target request target: path and query as sent.
+    /// @return the route of the host with the longest matching path prefix, or null.
     const Route* findRoute(std::string_view host, std::string_view target) const;
 
-    /// @return the holder of the key, or null.
+    /// @return the customer that owns the key, or null.
     const Customer* findCustomer(std::string_view key) const;
     const Service* findService(const ServiceId&) const;
 
-    /// @param point in [0, 1): the place in the sum of the weights.
-    /// @return the service that this request goes to, or null where the route has none.
+    /// Selects a service by weight.
+    /// @param point in [0, 1); its position within the sum of the weights selects the service.
+    /// @return null if the route has no services.
     static const ServiceId* chooseService(const Route&, double point);
 
 private:
     explicit RoutingTable(FleetConfig);
 
     FleetConfig m_config;
-    std::unordered_map<std::string, std::vector<const Route*>> m_byHost; ///< The longest prefix first.
+    std::unordered_map<std::string, std::vector<const Route*>> m_byHost; ///< Longest path prefix first.
     std::unordered_map<std::string_view, const Customer*> m_byKey;
     std::unordered_map<std::string_view, const Service*> m_services;
 };
 
-/// A part of a prompt. Requests share the leading parts.
+/// A part of a prompt. Requests can have leading parts in common.
 struct PromptPart {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
 };
 
-/// What a request needs of an engine; all zero for one to a plain application.
+/// Token counts and parts of a request's prompt; all zero for a request to a plain application.
 struct PromptSize {
-    std::uint32_t tokensIn = 0;
-    std::uint32_t tokensOut = 0; ///< At most.
+    std::uint32_t inputTokens = 0;
+    std::uint32_t maxOutputTokens = 0;
     std::vector<PromptPart> parts;
 };
 
-/// A leading run of parts, as an engine keeps it: a part is kept only for the same parts before it.
+/// Key of a prompt prefix, i.e. a leading run of parts. Engines cache by prefix: a cached part can be used only after
+/// the same preceding parts.
 struct PrefixKey {
     std::uint64_t key = 0;
-    std::uint32_t tokens = 0; ///< Of the last part of the run alone.
+    std::uint32_t tokens = 0; ///< Of the last part of the prefix alone.
 };
 
-/// @return the leading runs of a prompt, the whole one last. That one too takes an engine's memory, and so pushes out
-/// what others share.
+/// @return keys of all prefixes of the prompt, shortest first; the last one is the whole prompt. It is included because
+/// it too occupies the engine's cache and so evicts prefixes that other requests share.
 std::vector<PrefixKey> prefixesOf(const std::vector<PromptPart>&);
 
-/// Measures of the decisions. Each is a setting of the process or a constant of the engines in use.
+/// Tuning parameters of placement and admission. Each is a process setting or a constant of the engines in use.
 struct DispatchSettings {
-    /// Prompt tokens that an engine reads in a millisecond before anything was learned of it: the engines' sheet says
-    /// 51.1 without, and about 44 with, the steps of the streams that run beside.
-    double readTokensPerMs = 44;
-    /// Time to a first event with nothing ahead and all of the prompt kept: the engines' sheet.
-    Duration firstEventBase = std::chrono::milliseconds(55);
-    /// How much worse it is to read a token than to wait for one, as it also delays those that come after.
-    double readWeight = 3;
-    /// What speaks for a prompt's first home, as a multiple of the time that the prompt's shared parts take to read.
-    /// With 2 nearly all prompts are where routers that know nothing yet look for them: 0.87 in place of 0.77 of all
-    /// requests, and 0.85 in place of 0.64 where reports come over relays, are on time in the four seconds after all
-    /// routers were lost (replay, 18 engines near their limit, 4 seeds).
+    /// Initial estimate of an engine's prefill rate, in tokens per millisecond. The engines' data sheet gives 51.1
+    /// without concurrent streams and about 44 with their decoding steps.
+    double prefillTokensPerMs = 44;
+    /// Time to the first event with an empty queue and a fully cached prompt, from the engines' data sheet.
+    Duration firstEventOverhead = std::chrono::milliseconds(55);
+    /// Cost of a token to prefill relative to a token of queueing delay. Greater than 1 because prefill also delays
+    /// later requests.
+    double prefillWeight = 3;
+    /// Bonus for a prompt's first home target (its top target by rendezvous hashing), as a multiple of the prefill time
+    /// of the prompt's shared parts. With 2, nearly all prompts are cached where a router without state looks for them:
+    /// in the four seconds after all routers were lost, 0.87 instead of 0.77 of all requests meet their goal, and 0.85
+    /// instead of 0.64 where reports come over relays (replay, 18 engines near their limit, 4 seeds).
     double homeWeight = 2;
-    /// For so long after a start amid running engines a prompt that was not heard of yet is taken to be kept, in part,
-    /// by its homes. Zero: engines have just started, too, and keep nothing.
-    Duration homesTrusted = Duration::zero();
-    /// Charged to a target in another availability zone: the way there and back, and a part for each KB that crosses.
+    /// For this time after a start amid running engines, a prompt prefix that no router has reported is assumed to be
+    /// partly cached by its home targets. Zero if the engines have just started too and have empty caches.
+    Duration warmStartDuration = Duration::zero();
+    /// Cost of a target in another availability zone: the round trip, plus a part for each KB that crosses zones.
     Duration zonePenalty = std::chrono::milliseconds(4);
-    /// With 8 ms a fifth fewer bytes cross than with none, with as many answers on time (a heavy day of 64 routers).
+    /// With 8 ms, a fifth fewer bytes cross zones than with no penalty, and as many answers meet their goal (a heavy
+    /// day of 64 routers).
     Duration zonePenaltyPerKilobyte = std::chrono::milliseconds(6);
-    /// A peer's report that is older says nothing any more; a few of the longest intervals between reports.
-    Duration reportKept = std::chrono::milliseconds(1500);
-    /// A target that could not be reached is left alone for so long before a single request tries it again.
+    /// Older peer load reports are ignored; a few times the longest report interval.
+    Duration peerReportTtl = std::chrono::milliseconds(1500);
+    /// An unreachable target is avoided for this time; then a single request probes it.
     Duration avoidAfterFailure = std::chrono::milliseconds(800);
-    /// Part of a stream's goal within which its first event must be predicted to come, or it is refused.
-    double admitShare = 1.0;
-    /// Window over which customers' shares are compared; the deployments' own.
+    /// Fraction of a stream's goal within which its first event must be predicted to arrive for it to be admitted.
+    double admissionGoalFraction = 1.0;
+    /// Sliding window over which customers' shares are compared. A constant of the deployment.
     Duration shareWindow = std::chrono::seconds(4);
-    /// Routers among which the retry budget is divided at least: a router that is cut off or has just started does not
-    /// see all that spend from it.
+    /// Lower bound on the number of routers that the retry budget is divided among, because a router that is
+    /// partitioned or has just started does not know of all routers that spend from it.
     unsigned leastRouters = 8;
     double retryRatio = 0.2; ///< Retries per request that all routers together may send to a service.
-    double retrySlack = 50; ///< Retries that come on top, all routers together.
+    double retrySlack = 50; ///< Additional retries in the window, over all routers.
     Duration retryWindow = std::chrono::seconds(10);
 };
 
-/// A request that waits for a decision.
-struct Demand {
+/// A request, or the next attempt of one, that needs a placement decision.
+struct PlacementRequest {
     CustomerId customer;
     ServiceId service;
-    const Route* route = nullptr; ///< Valid during the call.
+    const Route* route = nullptr; ///< Only valid during the call.
     PromptSize prompt;
-    std::size_t bytes = 0; ///< Of the request; they cross to the target.
+    std::size_t bytes = 0; ///< Size of the request as sent to the target.
     TimePoint arrived;
-    TimePoint due; ///< No answer counts later.
-    std::set<TargetLife> tried; ///< They are chosen only when there is no other.
+    TimePoint due; ///< Deadline; an answer after it is useless.
+    std::set<TargetIncarnation> tried; ///< Chosen again only if there is no other target.
     quarantine::RequestKey key = 0; ///< See requestKeyOf().
 };
 
-/// What a target says of itself with an answer, whichever request it answers.
+/// Target state that an answer carries in addition to its result, whichever request it answers.
 struct TargetSignals {
-    bool isDraining = false; ///< It is about to leave: no new requests, those at work go on.
-    std::optional<Duration> backoff; ///< It wants no request of this router for so long.
+    bool isDraining = false; ///< The target is about to leave: it finishes running requests and takes no new ones.
+    std::optional<Duration> backoff; ///< The target wants no request from this router for this time.
 
     bool any() const { return isDraining || backoff; }
 };
 
-/// @return "+draining" and "+backoff:MILLISECONDS", each where it was said.
+/// @return "+draining" and "+backoff:MILLISECONDS", each if it is set.
 std::string toString(const TargetSignals&);
 
-/// Names a placed attempt until it ended.
+/// Identifies a placed attempt until it ends.
 using AttemptId = std::uint64_t;
 
-/// By what a request was let in or turned away.
+/// Inputs of an admission decision, for the log.
 struct Admission {
-    Duration wait {}; ///< What the best target was predicted to let it wait for others.
-    Duration allowed {}; ///< What it was allowed to wait.
-    double share = 0; ///< Its customer's use, as a multiple of what all can have; 0: there is enough for all.
-    bool isFarAbove = false; ///< Its customer was granted far more than one that is turned away.
-    bool isSizeHelped = false; ///< It was allowed more than its customer's share allows, as its size is starved.
-    std::optional<Duration> sumsAge; ///< Age of the oldest report in the sums over all routers; absent: there is none.
+    Duration wait {}; ///< Predicted queueing delay at the best target, behind other requests.
+    Duration allowed {}; ///< Maximum queueing delay for which the request is admitted.
+    double share = 0; ///< The customer's usage relative to its fair share; 0: there is enough capacity for all.
+    bool isFarAbove = false; ///< The customer was granted far more than another one whose requests are shed.
+    bool isSizeBoosted = false; ///< Allowed to wait longer than its share permits, as its size class is starved.
+    /// Age of the oldest peer report in the aggregated usage; absent without recent reports.
+    std::optional<Duration> oldestReportAge;
 };
 
-/// Go to this target.
+/// Decision to send the request to a target.
 struct Placement {
     AttemptId attempt = 0;
     Target target;
-    std::uint32_t tokensToRead = 0; ///< Of the prompt, not kept there as far as known.
-    Duration predictedFirst {}; ///< Until the first event.
+    std::uint32_t prefillTokens = 0; ///< Prompt tokens that are not cached at the target, as far as known.
+    Duration predictedFirstEventDelay {};
     Admission admission;
 };
 
-/// Why a request is turned away without having run.
+/// Why a request is refused without having run.
 enum class RefusalReason {
     NoTarget,
     Overloaded,
     OverShare,
     RetryBudget,
-    Backoff, ///< All targets that could take it asked for a pause.
-    Quarantined, ///< Targets end when they run it; see quarantine::CrashGuard.
+    Backoff, ///< All targets that could take it are in a backoff pause.
+    Quarantined, ///< Targets crash when they run it; see quarantine::CrashGuard.
 };
 
 std::string_view toString(RefusalReason);
 
 struct Refusal {
     RefusalReason reason = RefusalReason::NoTarget;
-    Duration comeBack {}; ///< By then the same request is expected to be served.
+    Duration retryAfter {}; ///< After this time the same request is expected to be served.
     Admission admission;
 };
 
 using Decision = std::variant<Placement, Refusal>;
 
-/// Why a request is placed.
-enum class Round {
+/// Whether a placement is for the first attempt of a request or for a retry.
+enum class AttemptKind {
     First,
-    AfterArrival, ///< A target has had it already; the retry budget counts that.
-    AfterNothing, ///< No target has had a byte of it yet.
+    RetryAfterSend, ///< A target has received the request before; counted against the retry budget.
+    RetryUnsent, ///< No target has received a byte of the request yet.
 };
 
 /// How an attempt ended.
 enum class AttemptEnd {
-    Answered, ///< With a whole answer that the target calls its result.
-    Failed, ///< The target ran it and says that it failed.
-    NotRun, ///< The target says that it did not and will not run it.
-    WrongTarget, ///< Another target has the address; it did not run it.
-    Unreachable, ///< No byte of the request left.
-    Withdrawn, ///< Not sent: the target said meanwhile that it wants no more, or has gone.
-    Broken, ///< It may have run; the answer is lost or no answer to this request.
-    Silent, ///< As Broken, after a time limit.
+    Answered, ///< Complete answer that reports success.
+    Failed, ///< The target ran the request and reports a failure.
+    NotRun, ///< The target reports that it did not and will not run the request.
+    WrongTarget, ///< Another target has the address; it did not run the request.
+    Unreachable, ///< No byte of the request was sent.
+    Withdrawn, ///< Not sent because the target has meanwhile started to drain or back off, or has gone.
+    Broken, ///< The request may have run; the answer was lost or does not belong to this request.
+    Silent, ///< Like Broken, after a time-out.
     CallerGone,
 };
 
 std::string_view toString(AttemptEnd);
 
-/// A customer's tokens over the share window, as one router counts them.
-struct CustomerUse {
-    double asked = 0;
+/// A customer's tokens in the share window, as counted by one router.
+struct CustomerUsage {
+    double requested = 0;
     double granted = 0;
-    double turnedAway = 0; ///< Before a decision, for want of the router's cores; not in asked.
+    double shed = 0; ///< Shed before a placement decision because the router lacked CPU time; not part of requested.
 };
 
-/// Shares of the engines as one router sees them, by the sums of its last decision.
-struct SharesView {
+/// Fair shares as one router sees them, from the aggregate used for its last decision.
+struct FairShareSnapshot {
     double capacity = 0; ///< Tokens in the window that customers may share.
-    double level = 0; ///< Tokens up to which all can be served alike; infinity: there is enough for all.
-    std::map<CustomerId, CustomerUse> customers; ///< Of all routers.
-    std::optional<Duration> sumsAge; ///< See Admission.
+    double level = 0; ///< Max-min fair level in tokens; infinity if all demand can be served.
+    std::map<CustomerId, CustomerUsage> customers; ///< Over all routers.
+    std::optional<Duration> oldestReportAge; ///< See Admission.
 };
 
-/// What one router has sent to one target.
-struct TargetUse {
-    std::uint32_t tokensToRead = 0; ///< Of requests whose first event has not come yet.
-    std::uint32_t active = 0; ///< Requests without an end yet.
-    std::uint32_t memoryTokens = 0; ///< That they will take.
+/// Load that one router has placed on one target.
+struct TargetLoad {
+    std::uint32_t prefillTokens = 0; ///< Of requests that are still waiting for their first event.
+    std::uint32_t active = 0; ///< Requests that have not ended.
+    std::uint32_t reservedTokens = 0; ///< Engine memory that the active requests will occupy.
 };
 
-/// A target's life in few bytes, as routers tell each other of it: a hash of its name and start. Where two of a fleet's
-/// lives have the same, which of 660 happens in one fleet of 20,000, each counts as busy as both.
+/// Compact identifier of a target incarnation in load reports: a 32-bit hash of its name and start time. One in 20,000
+/// fleets of 660 targets has a collision; each of the two targets then counts as being as busy as both together.
 using quarantine::TargetKey;
-TargetKey keyOf(const TargetLife&);
+TargetKey keyOf(const TargetIncarnation&);
 
-/// What was sent to a target of prompts lately.
+/// Prompts that were recently placed on a target.
 struct PlacedPrompts {
-    std::map<std::uint64_t, std::uint32_t> shared; ///< Leading runs that others may share, with PrefixKey::tokens.
-    std::uint64_t ownTokens = 0; ///< Of the parts that belong to one request: they push out what is shared.
+    std::map<std::uint64_t, std::uint32_t> shared; ///< Prefixes that others may share, with PrefixKey::tokens.
+    std::uint64_t unsharedTokens = 0; ///< Tokens of parts unique to one request; they evict shared prefixes.
 
     bool operator==(const PlacedPrompts&) const = default;
 };
 
-/// What a router tells the others of its own part, often and by datagrams. It describes a state, so that a lost one is
-/// mended by the next.
+/// Load report that a router sends to the others frequently as a datagram. It describes the current state, so that a
+/// lost report is made up for by the next one.
 struct LoadReport {
     std::uint64_t serial = 0;
-    Duration age {}; ///< Of the oldest report in a sum, when the sum was sent.
-    std::map<TargetKey, TargetUse> targets;
-    std::map<CustomerId, CustomerUse> customers;
-    std::map<TargetKey, PlacedPrompts> placed; ///< Since the report before the last: each is told twice.
+    Duration age {}; ///< For an aggregate: age of its oldest report when the aggregate was sent.
+    std::map<TargetKey, TargetLoad> targets;
+    std::map<CustomerId, CustomerUsage> customers;
+    std::map<TargetKey, PlacedPrompts> placed; ///< Since the report before the last; each placement is sent twice.
     std::set<quarantine::CrashRecord> crashes; ///< See quarantine::CrashLedger::tell().
 };
 
-/// Adds what another router, or a sum of several, has in flight.
+/// Adds the report of another router, or an aggregate of several.
 void add(LoadReport& sum, const LoadReport&);
 
-/// Takes off what add() had added of one router; prompts excepted, which are told once.
+/// Removes one router's contribution from an aggregate made by add(), except for prompts, which are reported once.
 void subtract(LoadReport& sum, const LoadReport&);
 
 /// @return the report as a compact binary record.
 std::string encode(const LoadReport&);
 
-/// @return the report, or BadRequest for bytes of another form.
+/// @return the report, or BadRequest if the bytes are not a valid report.
 absl::StatusOr<LoadReport> decodeLoadReport(std::string_view);
 
-/// What to do after an attempt of a request.
+/// What to do after an attempt of a request has ended.
 enum class NextStep {
-    Relay, ///< Pass on the target's answer.
+    Relay, ///< Forward the target's answer to the caller.
     TryElsewhere,
-    Refuse, ///< It certainly has not run: 503 and when to come back.
-    Fail, ///< It may have run: 502.
+    Refuse, ///< The request certainly did not run: answer 503 with a retry time.
+    Fail, ///< The request may have run: answer 502.
 };
 
-/// The facts on which the next step depends.
+/// Input of nextStep().
 struct AttemptFacts {
     RequestKind kind = RequestKind::Once;
     bool isResumable = false;
-    bool hasStarted = false; ///< Bytes of a stream's answer have gone to the caller.
-    unsigned runsSoFar = 0; ///< Targets on which it has, or may have, run.
-    unsigned attemptsMost = 1;
-    unsigned triesSoFar = 0; ///< Targets chosen, whether it ran there or not.
+    bool hasStarted = false; ///< Bytes of a stream's answer have been sent to the caller.
+    unsigned runsSoFar = 0; ///< Targets on which the request ran or may have run.
+    unsigned maxAttempts = 1;
+    unsigned triesSoFar = 0; ///< Targets chosen, whether or not the request ran there.
     AttemptEnd end = AttemptEnd::Answered;
     bool mayHaveRunBefore = false; ///< On an earlier target.
 };
 
-/// Most targets that a request is offered, whatever came of it: an outage must not become a loop.
-inline constexpr unsigned mostTries = 4;
+/// Maximum number of targets that a request is offered to, whatever the results. Keeps an outage from causing an
+/// endless retry loop.
+inline constexpr unsigned maxTries = 4;
 
-/// @return what follows; never anything by which a request of kind Once could run twice.
+/// @return the next step; never one by which a request of kind Once could run twice.
 NextStep nextStep(const AttemptFacts&);
 
 /// Places the requests of one router. Not thread-safe.
@@ -383,40 +389,40 @@
     /// Replaces the list of targets.
     virtual void setTargets(TimePoint now, const std::vector<Target>&) = 0;
 
-    /// Decides on a request, or on the next attempt of one.
-    virtual Decision place(TimePoint now, const Demand&, Round) = 0;
+    /// Places or refuses a request or its next attempt.
+    virtual Decision place(TimePoint now, const PlacementRequest&, AttemptKind) = 0;
 
-    /// A request was turned away before it came to a decision here, for want of this router's cores.
-    virtual void turnedAway(TimePoint now, const CustomerId&, const PromptSize&) = 0;
+    /// A request was shed before place() because the router lacked CPU time.
+    virtual void shed(TimePoint now, const CustomerId&, const PromptSize&) = 0;
 
-    /// The first event or the answer's head has come.
+    /// The first event of a stream or the head of an answer has arrived.
     virtual void firstAnswer(TimePoint now, AttemptId) = 0;
     virtual void ended(TimePoint now, AttemptId, AttemptEnd) = 0;
 
-    /// A target asked this router for a pause. It gets no request before its end.
-    /// @return whether it was not known to pause.
-    virtual bool backOff(TimePoint now, const TargetLife&, Duration) = 0;
+    /// A target asked this router to back off. It gets no request until the pause ends.
+    /// @return whether the target was not already in a pause.
+    virtual bool backOff(TimePoint now, const TargetIncarnation&, Duration) = 0;
 
-    /// @return whether a request that was placed there may leave now: the target takes requests still.
-    virtual bool maySend(TimePoint now, const TargetLife&) const = 0;
+    /// @return whether a request that was placed on the target may still be sent: the target accepts requests.
+    virtual bool maySend(TimePoint now, const TargetIncarnation&) const = 0;
 
-    /// @return how a request is turned away that was offered to as many targets as it may be.
+    /// @return the refusal for a request that has been offered to the maximum number of targets.
     virtual Refusal giveUp(TimePoint now, const ServiceId&) = 0;
 
-    /// @return this router's own part, for the others. Prefixes are told in two reports, as one may be lost.
+    /// @return this router's load, for its peers. Prefixes are included in two consecutive reports, as one may be lost.
     virtual LoadReport report(TimePoint now) = 0;
     virtual void peerReported(TimePoint now, const VmId& peer, const LoadReport&) = 0;
 
-    /// @param n routers that are known, this one included.
+    /// @param n number of known routers, including this one.
     virtual void setRouterCount(unsigned n) = 0;
 
-    /// @return whether any target is known that takes requests.
+    /// @return whether any known target accepts requests.
     virtual bool hasTargets() const = 0;
 
-    /// @return who has how much of the engines.
-    virtual SharesView shares(TimePoint now) const = 0;
+    /// @return current usage and fair shares of all customers.
+    virtual FairShareSnapshot shares(TimePoint now) const = 0;
 
-    /// @return what is known of requests that crash targets.
+    /// @return the tracker of requests that crash targets.
     virtual quarantine::CrashGuard& crashes() = 0;
 };
 
--- a/include/sagechute/News.h
+++ b/include/sagechute/News.h
@@ -152,7 +152,7 @@
 
     /// A life of a target said itself that it leaves; no record has to say so.
     /// @return whether that was not known.
-    bool saidDraining(TimePoint now, const dispatch::TargetLife&);
+    bool saidDraining(TimePoint now, const dispatch::TargetIncarnation&);
 
     /// Replaces everything by a whole list. @param end all entries that are missing had gone before this record.
     void replace(TimePoint now, const std::vector<TargetChange>& all, LogOffset end);
@@ -201,7 +201,7 @@
 
     /// What is remembered of a target's newest life, also when its entry has gone.
     struct LifeMemory {
-        std::int64_t born = 0;
+        std::int64_t startedAtMs = 0;
         bool isLeaving = false;
         TimePoint at;
         LogOffset offset = 0; ///< Of the last record that was applied.
--- a/include/sagechute/Relay.h
+++ b/include/sagechute/Relay.h
@@ -47,12 +47,12 @@
     virtual ~FlowPort() = default;
 
     // Towards the decisions on all requests.
-    virtual dispatch::Decision place(TimePoint now, const dispatch::Demand&, dispatch::Round) = 0;
+    virtual dispatch::Decision place(TimePoint now, const dispatch::PlacementRequest&, dispatch::AttemptKind) = 0;
     virtual void firstAnswer(TimePoint now, dispatch::AttemptId) = 0;
     virtual void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const AnswerEnd&) = 0;
 
     /// A target said something of itself, whether or not its answer is of use.
-    virtual void targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) = 0;
+    virtual void targetSaid(TimePoint now, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&) = 0;
 
     /// @return how a request is turned away that was offered to as many targets as it may be.
     virtual dispatch::Refusal giveUp(TimePoint now, const ServiceId&) = 0;
@@ -128,10 +128,10 @@
     const FlowRecord& record() const { return m_record; }
 
 private:
-    using Round = dispatch::Round;
+    using AttemptKind = dispatch::AttemptKind;
     using AttemptEnd = dispatch::AttemptEnd;
 
-    void place(TimePoint now, Round);
+    void place(TimePoint now, AttemptKind);
     void send(TimePoint now, const dispatch::Placement&);
     void finishAttempt(TimePoint now, AttemptEnd, const AnswerEnd& = {});
 
@@ -172,7 +172,7 @@
     std::optional<edge::EventSplitter> m_splitter;
 
     // Over all attempts.
-    std::vector<dispatch::TargetLife> m_sentTo; ///< By the attempt's number, from 1 on.
+    std::vector<dispatch::TargetIncarnation> m_sentTo; ///< By the attempt's number, from 1 on.
     unsigned m_runs = 0;
     bool m_mayHaveRun = false;
     bool m_hasStarted = false;
--- a/src/dispatch/BackoffTable.h
+++ b/src/dispatch/BackoffTable.h
@@ -1,46 +1,49 @@
 #pragma once
 
 /// @file
-/// Which targets asked this router for a pause, and how they are tried again afterwards.
+/// Backoff state of targets, and how they are probed after a pause.
 
 #include <sagechute/Dispatch.h>
 
 namespace sagechute::dispatch {
 
-/// Targets that want no request of this router for a time, by their own answers.
+/// Targets that asked this router, in an answer, to send no requests for some time.
 ///
-/// Load pattern: an overloaded target turns away all that it gets. A request that is sent there within its pause is
-/// lost time for its caller and work for the target, so none is, whatever else speaks for the target. When the pause is
-/// over, a single request tries it; the others follow once that one is served.
+/// An overloaded target rejects every request. A request sent to it during its pause wastes the caller's time and adds
+/// to the target's load, so a pause overrides all other placement criteria. After the pause a single request probes the
+/// target (like a half-open circuit breaker); others follow once the probe has been served.
 class BackoffTable {
 public:
-    /// Takes note of what a target asked for. A pause is never shortened.
-    /// @return whether the target was not known to pause.
-    bool ask(TimePoint now, const TargetLife&, Duration);
+    /// Starts or extends a pause; never shortens one.
+    /// @return whether the target was not already in a pause.
+    bool recordBackoff(TimePoint now, const TargetIncarnation&, Duration);
 
-    /// @return when the target's pause ends; absent if it does not pause.
-    std::optional<TimePoint> end(TimePoint now, const TargetLife&) const;
-    bool isPaused(TimePoint now, const TargetLife& life) const { return end(now, life).has_value(); }
+    /// @return end of the target's pause; absent if it is not in one.
+    std::optional<TimePoint> pauseEnd(TimePoint now, const TargetIncarnation&) const;
+    bool isPaused(TimePoint now, const TargetIncarnation& incarnation) const
+    {
+        return pauseEnd(now, incarnation).has_value();
+    }
 
-    /// @return whether its pause is over and the request that tries it has not been answered yet.
-    bool isOnTrial(TimePoint now, const TargetLife&) const;
+    /// @return whether the pause is over and the probing request has not been answered yet.
+    bool isOnTrial(TimePoint now, const TargetIncarnation&) const;
 
-    /// A request goes to the target. @param patience how long it alone tries a target whose pause is over.
-    void placed(TimePoint now, const TargetLife&, Duration patience);
+    /// A request was placed on the target. @param trialTimeout after a pause, how long it remains the only probe.
+    void placed(TimePoint now, const TargetIncarnation&, Duration trialTimeout);
 
-    /// The target serves a request. While it pauses, that says nothing of later ones.
-    void served(TimePoint now, const TargetLife&);
+    /// The target served a request. Ignored during a pause, as it says nothing about later requests.
+    void served(TimePoint now, const TargetIncarnation&);
 
-    /// Bounds what a wrong time can do: after it a single request asks the target again.
-    static constexpr Duration mostPause = std::chrono::minutes(10);
+    /// Upper bound on a pause, which limits the effect of a wrong value: the target is probed after it.
+    static constexpr Duration maxPause = std::chrono::minutes(10);
 
 private:
     struct Entry {
-        TimePoint until; ///< Of the pause.
-        TimePoint trialUntil; ///< While a request tries the target.
+        TimePoint until; ///< End of the pause.
+        TimePoint trialUntil; ///< Until then a request is probing the target.
     };
 
-    std::map<TargetLife, Entry> m_entries;
+    std::map<TargetIncarnation, Entry> m_entries;
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/CustomerShares.cpp
+++ b/src/dispatch/CustomerShares.cpp
@@ -7,77 +7,79 @@
 
 namespace {
 
-    /// Entries of one moment are added up, so that their number is bounded by time and customers, not by requests.
-    constexpr Duration entrySpan = std::chrono::milliseconds(250);
+    /// Usage within this interval is merged into one entry per customer, which bounds the number of entries by time and
+    /// customers rather than by requests.
+    constexpr Duration bucketSpan = std::chrono::milliseconds(250);
 
-    /// Twice as much as a customer that waits is unfair; the sums lag behind what is granted.
-    constexpr double mostAbove = 1.6;
+    /// A customer may be granted at most this multiple of what a customer with mostly shed requests is granted. Twice
+    /// as much counts as unfair; the margin allows for aggregates that lag behind grants.
+    constexpr double maxGrantRatio = 1.6;
 
-    /// A router's part that isn't asked for is saved up for so long.
-    constexpr Duration savedTime = std::chrono::milliseconds(500);
+    /// An unused allowance of a router accrues for at most this time.
+    constexpr Duration maxAccrualTime = std::chrono::milliseconds(500);
 
-    /// There is enough for all while this part of what is asked for is granted: single requests are turned away for
-    /// reasons of their own.
-    constexpr double enoughGranted = 0.98;
+    /// Demand counts as fully served from this granted fraction on, as single requests are refused for other reasons.
+    constexpr double fullyServedFraction = 0.98;
 
-    /// Below two large requests a difference is chance.
-    constexpr double leastAbove = 60'000;
+    /// Two large requests, in tokens; a smaller difference is noise.
+    constexpr double minGrantMargin = 60'000;
 
-    /// What a customer counts as at most, as a multiple of its share, that others are ahead of: over it, so that it
-    /// waits no longer than its goal, and only just, so that those who have more are turned away before it.
-    constexpr double justOver = 1.05;
+    /// Upper bound on the share ratio of an underserved customer. It is above 1, so that its requests wait no longer
+    /// than their goal, but only just, so that customers with more usage are refused first.
+    constexpr double maxUnderservedRatio = 1.05;
 
-    /// A customer that has less than this part of what the best served one has is behind.
-    constexpr double behindPart = 0.85;
+    /// A customer is underserved if it was granted less than this fraction of what the best-served one was granted.
+    constexpr double underservedFraction = 0.85;
 
-    constexpr Duration sumKept = std::chrono::milliseconds(25);
+    constexpr Duration aggregateTtl = std::chrono::milliseconds(25);
 
-    void addUse(CustomerUse& sum, const CustomerUse& use)
+    void addUsage(CustomerUsage& sum, const CustomerUsage& usage)
     {
-        sum.asked += use.asked;
-        sum.granted += use.granted;
-        sum.turnedAway += use.turnedAway;
+        sum.requested += usage.requested;
+        sum.granted += usage.granted;
+        sum.shed += usage.shed;
     }
 
-    /// @param most tokens that may be counted on, whatever was granted.
-    /// @return the level that divides anew, evenly, what all were granted together.
-    double levelOf(const std::map<CustomerId, CustomerUse>& sum, double most = std::numeric_limits<double>::infinity())
+    /// @param maxTokens upper bound on the capacity, whatever was granted.
+    /// @return the max-min fair level at which the tokens granted to all customers would be divided.
+    double fairShareLevel(
+        const std::map<CustomerId, CustomerUsage>& sum, double maxTokens = std::numeric_limits<double>::infinity())
     {
-        std::vector<double> asked;
-        asked.reserve(sum.size());
-        CustomerUse all;
-        for (const auto& [id, use] : sum) {
-            asked.push_back(use.asked);
-            addUse(all, use);
+        std::vector<double> requested;
+        requested.reserve(sum.size());
+        CustomerUsage all;
+        for (const auto& [id, usage] : sum) {
+            requested.push_back(usage.requested);
+            addUsage(all, usage);
         }
-        const bool isEnough = all.granted >= enoughGranted * all.asked;
-        return maxMinLevel(std::move(asked), isEnough ? most : std::min(most, all.granted));
+        const bool isFullyServed = all.granted >= fullyServedFraction * all.requested;
+        return maxMinLevel(std::move(requested), isFullyServed ? maxTokens : std::min(maxTokens, all.granted));
     }
 
-    double mostGranted(const std::map<CustomerId, CustomerUse>& sum)
+    double maxGranted(const std::map<CustomerId, CustomerUsage>& sum)
     {
-        double most = 0;
-        for (const auto& [id, use] : sum)
-            most = std::max(most, use.granted);
-        return most;
+        double highest = 0;
+        for (const auto& [id, usage] : sum)
+            highest = std::max(highest, usage.granted);
+        return highest;
     }
 
 } // namespace
 
-double maxMinLevel(std::vector<double> asked, double capacity)
+double maxMinLevel(std::vector<double> requested, double capacity)
 {
-    std::sort(asked.begin(), asked.end());
-    double left = capacity;
-    for (std::size_t i = 0; i < asked.size(); ++i) {
-        const double even = left / static_cast<double>(asked.size() - i);
-        if (asked[i] > even)
-            return even;
-        left -= asked[i];
+    std::sort(requested.begin(), requested.end());
+    double remaining = capacity;
+    for (std::size_t i = 0; i < requested.size(); ++i) {
+        const double equalShare = remaining / static_cast<double>(requested.size() - i);
+        if (requested[i] > equalShare)
+            return equalShare;
+        remaining -= requested[i];
     }
     return std::numeric_limits<double>::infinity();
 }
 
-void CustomerShares::asked(TimePoint now, const CustomerId& customer, double tokens)
+void CustomerShares::requested(TimePoint now, const CustomerId& customer, double tokens)
 {
     add(now, customer, { tokens, 0, 0 });
 }
@@ -89,47 +91,47 @@
     add(now, customer, { 0, tokens, 0 });
 }
 
-void CustomerShares::turnedAway(TimePoint now, const CustomerId& customer, double tokens)
+void CustomerShares::shed(TimePoint now, const CustomerId& customer, double tokens)
 {
     add(now, customer, { 0, 0, tokens });
 }
 
-void CustomerShares::add(TimePoint now, const CustomerId& customer, CustomerUse use)
+void CustomerShares::add(TimePoint now, const CustomerId& customer, CustomerUsage usage)
 {
     expire(now);
-    OwnUse& sum = m_own[customer];
-    addUse(sum, use);
-    for (auto it = m_entries.rbegin(); it != m_entries.rend() && now - it->at < entrySpan; ++it) {
+    LocalUsage& sum = m_localUsage[customer];
+    addUsage(sum, usage);
+    for (auto it = m_entries.rbegin(); it != m_entries.rend() && now - it->at < bucketSpan; ++it) {
         if (it->customer == customer) {
-            addUse(it->use, use);
+            addUsage(it->usage, usage);
             return;
         }
     }
     ++sum.entries;
-    m_entries.push_back({ now, customer, use });
+    m_entries.push_back({ now, customer, usage });
 }
 
 void CustomerShares::expire(TimePoint now)
 {
     while (!m_entries.empty() && now - m_entries.front().at > m_window) {
         const Entry& oldest = m_entries.front();
-        OwnUse& sum = m_own.at(oldest.customer);
-        sum.asked = std::max(0.0, sum.asked - oldest.use.asked);
-        sum.granted = std::max(0.0, sum.granted - oldest.use.granted);
-        sum.turnedAway = std::max(0.0, sum.turnedAway - oldest.use.turnedAway);
+        LocalUsage& sum = m_localUsage.at(oldest.customer);
+        sum.requested = std::max(0.0, sum.requested - oldest.usage.requested);
+        sum.granted = std::max(0.0, sum.granted - oldest.usage.granted);
+        sum.shed = std::max(0.0, sum.shed - oldest.usage.shed);
         if (--sum.entries == 0)
-            m_own.erase(oldest.customer);
+            m_localUsage.erase(oldest.customer);
         m_entries.pop_front();
     }
 }
 
-void CustomerShares::peerUse(
-    TimePoint now, const VmId& peer, const std::map<CustomerId, CustomerUse>& use, Duration age)
+void CustomerShares::setPeerUsage(
+    TimePoint now, const VmId& peer, const std::map<CustomerId, CustomerUsage>& usage, Duration age)
 {
-    m_peers[peer] = { now, age, use };
+    m_peers[peer] = { now, age, usage };
 }
 
-std::optional<Duration> CustomerShares::sumsAge(TimePoint now) const
+std::optional<Duration> CustomerShares::oldestReportAge(TimePoint now) const
 {
     std::optional<Duration> oldest;
     for (const auto& [peer, part] : m_peers) {
@@ -139,91 +141,95 @@
     return oldest;
 }
 
-SharesView CustomerShares::view(TimePoint now) const { return { 0, m_level, m_sum, sumsAge(now) }; }
+FairShareSnapshot CustomerShares::view(TimePoint now) const
+{
+    return { 0, m_level, m_totalUsage, oldestReportAge(now) };
+}
 
-std::map<CustomerId, CustomerUse> CustomerShares::own(TimePoint now)
+std::map<CustomerId, CustomerUsage> CustomerShares::localUsage(TimePoint now)
 {
     expire(now);
-    return { m_own.begin(), m_own.end() };
+    return { m_localUsage.begin(), m_localUsage.end() };
 }
 
-std::map<CustomerId, CustomerUse> CustomerShares::total(TimePoint now)
+std::map<CustomerId, CustomerUsage> CustomerShares::totalUsage(TimePoint now)
 {
-    std::map<CustomerId, CustomerUse> sum = own(now);
+    std::map<CustomerId, CustomerUsage> sum = localUsage(now);
     std::erase_if(m_peers, [&](const auto& it) { return now - it.second.at > m_window; });
     for (const auto& [peer, part] : m_peers) {
-        for (const auto& [customer, use] : part.use)
-            addUse(sum[customer], use);
+        for (const auto& [customer, usage] : part.usage)
+            addUsage(sum[customer], usage);
     }
     return sum;
 }
 
-double CustomerShares::overShare(TimePoint now, const CustomerId& customer, double capacity)
+double CustomerShares::shareRatio(TimePoint now, const CustomerId& customer, double capacity)
 {
-    // Summing up costs more than all the rest of a decision; what peers said is older than this anyway.
-    if (!m_summedAt || now - *m_summedAt >= sumKept) {
-        m_summedAt = now;
-        m_sum = total(now);
-        m_level = levelOf(m_sum, capacity);
-        m_behind = std::min(levelOf(m_sum), behindPart * mostGranted(m_sum));
-        noteWaiting();
+    // Aggregation costs more than the rest of a decision, and the peer reports are older than the TTL anyway.
+    if (!m_totalUsageAt || now - *m_totalUsageAt >= aggregateTtl) {
+        m_totalUsageAt = now;
+        m_totalUsage = totalUsage(now);
+        m_level = fairShareLevel(m_totalUsage, capacity);
+        m_underservedBelow = std::min(fairShareLevel(m_totalUsage), underservedFraction * maxGranted(m_totalUsage));
+        updateShedCustomers();
     }
-    const auto self = m_sum.find(customer);
-    if (self == m_sum.end() || m_level <= 0)
+    const auto self = m_totalUsage.find(customer);
+    if (self == m_totalUsage.end() || m_level <= 0)
         return 0;
     const double share = self->second.granted / m_level;
-    return self->second.granted < m_behind ? std::min(share, justOver) : share;
+    return self->second.granted < m_underservedBelow ? std::min(share, maxUnderservedRatio) : share;
 }
 
-void CustomerShares::noteWaiting()
+void CustomerShares::updateShedCustomers()
 {
-    m_waiting.clear();
-    for (const auto& [id, use] : m_sum) {
-        if (use.turnedAway > use.granted)
-            m_waiting.emplace(id, use);
+    m_shedCustomers.clear();
+    for (const auto& [id, usage] : m_totalUsage) {
+        if (usage.shed > usage.granted)
+            m_shedCustomers.emplace(id, usage);
     }
 }
 
-std::optional<double> CustomerShares::mostBesideWaiting(const CustomerId& customer, const CustomerUse& self) const
+std::optional<double> CustomerShares::grantLimit(const CustomerId& customer, const CustomerUsage& self) const
 {
-    std::optional<double> most;
-    for (const auto& [id, use] : m_waiting) {
-        const double limit = mostAbove * use.granted + leastAbove;
-        if (id != customer && use.asked + use.turnedAway >= self.granted && self.asked > limit)
-            most = std::min(most.value_or(limit), limit);
+    std::optional<double> lowest;
+    for (const auto& [id, usage] : m_shedCustomers) {
+        const double limit = maxGrantRatio * usage.granted + minGrantMargin;
+        if (id != customer && usage.requested + usage.shed >= self.granted && self.requested > limit)
+            lowest = std::min(lowest.value_or(limit), limit);
     }
-    return most;
+    return lowest;
 }
 
-bool CustomerShares::isSpent(TimePoint now, const CustomerId& customer, double most)
+bool CustomerShares::isAllowanceSpent(TimePoint now, const CustomerId& customer, double fleetLimit)
 {
     using Seconds = std::chrono::duration<double>;
-    const auto own = m_own.find(customer);
-    if (own == m_own.end())
+    const auto local = m_localUsage.find(customer);
+    if (local == m_localUsage.end())
         return false;
-    const CustomerUse& all = m_sum.at(customer);
-    const double part = all.asked > 0 ? std::min(1.0, own->second.asked / all.asked) : 0;
+    const CustomerUsage& all = m_totalUsage.at(customer);
+    const double part = all.requested > 0 ? std::min(1.0, local->second.requested / all.requested) : 0;
     const auto [it, isNew] = m_allowances.try_emplace(customer);
     Allowance& allowance = it->second;
     if (isNew)
-        allowance = { std::min(0.0, part * most - own->second.granted), now, 0 };
+        allowance = { std::min(0.0, part * fleetLimit - local->second.granted), now, 0 };
     allowance.tokens += allowance.perSecond * Seconds(now - allowance.at).count();
     allowance.at = now;
-    allowance.perSecond = part * most / Seconds(m_window).count();
-    allowance.tokens = std::min(allowance.tokens, allowance.perSecond * Seconds(savedTime).count());
+    allowance.perSecond = part * fleetLimit / Seconds(m_window).count();
+    allowance.tokens = std::min(allowance.tokens, allowance.perSecond * Seconds(maxAccrualTime).count());
     return allowance.tokens <= 0;
 }
 
 bool CustomerShares::isFarAboveOthers(TimePoint now, const CustomerId& customer)
 {
-    const auto self = m_sum.find(customer);
-    const std::optional<double> most = self == m_sum.end() ? std::nullopt : mostBesideWaiting(customer, self->second);
-    if (!most) {
+    const auto self = m_totalUsage.find(customer);
+    const std::optional<double> fleetLimit
+        = self == m_totalUsage.end() ? std::nullopt : grantLimit(customer, self->second);
+    if (!fleetLimit) {
         m_allowances.erase(customer);
         return false;
     }
-    const bool isOverAll = self->second.granted > *most;
-    return isSpent(now, customer, *most) || isOverAll;
+    const bool isOverFleetLimit = self->second.granted > *fleetLimit;
+    return isAllowanceSpent(now, customer, *fleetLimit) || isOverFleetLimit;
 }
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/CustomerShares.h
+++ b/src/dispatch/CustomerShares.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Who has had how much of the engines lately, over all routers.
+/// Fair shares of engine capacity per customer, over all routers.
 
 #include <sagechute/Dispatch.h>
 
@@ -9,11 +9,11 @@
 
 namespace sagechute::dispatch {
 
-/// Max-min shares over a sliding window.
+/// Max-min fair shares over a sliding window.
 ///
-/// Load pattern: one customer sends many times its usual. Without shares it fills every engine's queue, and the others'
-/// requests come late or are refused though they ask for little. A customer above the level up to which all can be
-/// served alike is the first to be turned away; one below it is the last.
+/// Without shares, a customer that sends many times its usual load fills the queues of all engines, and requests of
+/// other customers are late or refused although they ask for little. A customer above the level up to which all demand
+/// can be served equally is refused first; one below it is refused last.
 class CustomerShares {
 public:
     explicit CustomerShares(Duration window)
@@ -21,97 +21,100 @@
     {
     }
 
-    void asked(TimePoint now, const CustomerId&, double tokens);
+    void requested(TimePoint now, const CustomerId&, double tokens);
     void granted(TimePoint now, const CustomerId&, double tokens);
-    void turnedAway(TimePoint now, const CustomerId&, double tokens);
+    void shed(TimePoint now, const CustomerId&, double tokens);
 
-    /// Replaces what a peer said before. It counts for as long as the window: taken for nothing sooner, a flood would
-    /// look small when a relay falls silent.
-    /// @param age of the oldest report in it.
-    void peerUse(TimePoint now, const VmId& peer, const std::map<CustomerId, CustomerUse>&, Duration age = {});
+    /// Replaces the previous report of the peer. A report counts for the whole window: if it expired earlier, a flood
+    /// would seem small when a relay stops sending.
+    /// @param age of the oldest report that it contains.
+    void setPeerUsage(TimePoint now, const VmId& peer, const std::map<CustomerId, CustomerUsage>&, Duration age = {});
 
-    /// @return what this router alone has counted in the window.
-    std::map<CustomerId, CustomerUse> own(TimePoint now);
+    /// @return usage in the window as counted by this router alone.
+    std::map<CustomerId, CustomerUsage> localUsage(TimePoint now);
 
-    /// The level is the one at which all would have been served alike with what they were granted together: what is
-    /// granted shows what the engines give, whatever they are said to give.
+    /// Compares a customer's granted tokens with the max-min fair level at which all would have been served equally
+    /// with the tokens that were granted in total. Granted tokens show the actual capacity, whatever is configured.
     ///
-    /// Load pattern: engines give far more than they are said to, and a flood takes it. Then all are over a level that
-    /// counts on no more than is said, and the flood, which comes to more routers, is let in more often than a customer
-    /// that has much less. So one that has less than its part of what all were given, and far less than the best served
-    /// one, counts as only just over its share.
-    /// @param capacity tokens that all engines are said to produce in the window; more is not counted on.
-    /// @return what the customer was granted, as a multiple of the level: above 1 it is over its share. 0 while all
-    ///         that is asked for can be served.
-    double overShare(TimePoint now, const CustomerId&, double capacity);
-
-    /// Load pattern: a customer's callers all come to one small router, which carries a fraction of what they ask for;
-    /// another customer's come to all routers. The engines then have room, and the other one is granted many times as
-    /// much, whatever the level is.
+    /// If engines have far more capacity than configured and a flood takes it, all customers are above a level that is
+    /// limited to the configured capacity, and the flood, which reaches more routers, is admitted more often than a
+    /// customer with much less usage. So a customer below its fair part of the granted total, and far below the
+    /// best-served customer, counts as only just over its share.
+    /// @param capacity configured tokens of all engines in the window; an upper bound for the level.
+    /// @return granted tokens as a multiple of the level: above 1 the customer is over its share. 0 while all demand
+    /// can
+    ///         be served.
+    double shareRatio(TimePoint now, const CustomerId&, double capacity);
+
+    /// Detects a customer that is granted a multiple of what another one gets although the engines have room. This
+    /// happens when all callers of the other customer use one small router, which can carry only a fraction of their
+    /// requests, while this customer's callers use all routers. The fair level does not show it.
     ///
-    /// What routers let in between two sums nobody has counted yet, and each lets in as if it were the only one. So
-    /// each has a part of what the customer may have, by the part of the customer's requests that comes to it.
-    /// @return whether all routers, or this one by its part, have granted the customer as much as it may have beside
-    ///         another one that sends as much and is turned away. By the sums of the last overShare().
+    /// Grants made between two aggregates are not known to other routers, and each router admits as if it were the only
+    /// one. So each router gets a part of the customer's limit, proportional to its part of the customer's requests.
+    /// @return whether all routers together, or this one by its part, have granted the customer as much as it may have
+    ///         beside another one that sends as much and whose requests are shed. Uses the aggregate of the last
+    ///         shareRatio().
     bool isFarAboveOthers(TimePoint now, const CustomerId&);
 
-    /// @return age of the oldest report in the sums; absent: no other router has reported lately.
-    std::optional<Duration> sumsAge(TimePoint now) const;
+    /// @return age of the oldest report in the aggregate; absent if no other router has reported within the window.
+    std::optional<Duration> oldestReportAge(TimePoint now) const;
 
-    /// @return the sums of the last overShare(); the capacity is not filled in.
-    SharesView view(TimePoint now) const;
+    /// @return the aggregate of the last shareRatio(); the capacity is not set.
+    FairShareSnapshot view(TimePoint now) const;
 
 private:
     struct Entry {
         TimePoint at;
         CustomerId customer;
-        CustomerUse use;
+        CustomerUsage usage;
     };
 
-    /// Sums over the entries of a customer; gone with the last of them.
-    struct OwnUse : CustomerUse {
+    /// Sums over a customer's entries; removed with the last of them.
+    struct LocalUsage : CustomerUsage {
         unsigned entries = 0;
     };
 
-    struct PeerPart {
+    struct PeerUsage {
         TimePoint at;
-        Duration age {}; ///< When it came.
-        std::map<CustomerId, CustomerUse> use;
+        Duration age {}; ///< Age of the oldest report in it, on receipt.
+        std::map<CustomerId, CustomerUsage> usage;
     };
 
-    /// What this router may still grant a customer.
+    /// Token bucket with what this router may still grant a customer.
     struct Allowance {
-        double tokens = 0; ///< Below zero after a request that was larger than what was left.
+        double tokens = 0; ///< Negative after a request larger than the remainder.
         TimePoint at;
         double perSecond = 0;
     };
 
-    /// @return tokens in the window that the customer may have beside others that wait; absent: none waits for its
-    /// sake.
-    std::optional<double> mostBesideWaiting(const CustomerId&, const CustomerUse&) const;
+    /// @return tokens in the window that the customer may have beside others whose requests are mostly shed; absent if
+    ///         no such customer limits it.
+    std::optional<double> grantLimit(const CustomerId&, const CustomerUsage&) const;
 
-    /// @param most tokens in the window that all routers together may grant.
-    /// @return whether nothing is left of this router's part.
-    bool isSpent(TimePoint now, const CustomerId&, double most);
-    void add(TimePoint now, const CustomerId&, CustomerUse);
+    /// @param fleetLimit tokens in the window that all routers together may grant.
+    /// @return whether this router's part of the limit is used up.
+    bool isAllowanceSpent(TimePoint now, const CustomerId&, double fleetLimit);
+    void add(TimePoint now, const CustomerId&, CustomerUsage);
     void expire(TimePoint now);
-    std::map<CustomerId, CustomerUse> total(TimePoint now);
-    void noteWaiting();
+    std::map<CustomerId, CustomerUsage> totalUsage(TimePoint now);
+    void updateShedCustomers();
 
     const Duration m_window;
     std::deque<Entry> m_entries;
-    std::map<CustomerId, OwnUse> m_own;
-    std::map<VmId, PeerPart> m_peers;
-    std::optional<TimePoint> m_summedAt;
-    std::map<CustomerId, CustomerUse> m_sum; ///< Of all routers, at that time.
+    std::map<CustomerId, LocalUsage> m_localUsage;
+    std::map<VmId, PeerUsage> m_peers;
+    std::optional<TimePoint> m_totalUsageAt;
+    std::map<CustomerId, CustomerUsage> m_totalUsage; ///< Over all routers, as of m_totalUsageAt.
     double m_level = 0;
-    double m_behind = 0; ///< Tokens below which a customer has less than its part, and others are ahead of it.
-    /// Of customers whose requests are mostly turned away for want of routers' cores.
-    std::map<CustomerId, CustomerUse> m_waiting;
+    double m_underservedBelow = 0; ///< A customer that was granted fewer tokens is underserved.
+    /// Customers whose requests are mostly shed because routers lack CPU time.
+    std::map<CustomerId, CustomerUsage> m_shedCustomers;
     std::map<CustomerId, Allowance> m_allowances;
 };
 
-/// @return the level L for which the sum of min(asked, L) over all is @p capacity; infinity when all fits.
-double maxMinLevel(std::vector<double> asked, double capacity);
+/// @return the max-min fair level L, for which the sum of min(requested, L) equals @p capacity; infinity if the
+///         capacity suffices for all.
+double maxMinLevel(std::vector<double> requested, double capacity);
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/HomeOrder.cpp
+++ b/src/dispatch/HomeOrder.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-    /// A rank beyond this speaks for a target by less than a scheduling delay of the engine.
-    constexpr std::size_t mostRanked = 6;
+    /// The bonus of a lower rank would be less than a scheduling delay of the engine.
+    constexpr std::size_t maxRanked = 6;
 
-    struct Place {
+    struct RankedTarget {
         std::uint64_t hash;
         const TargetModel* model;
     };
 
-    bool isBefore(const Place& one, const Place& other) { return one.hash > other.hash; }
+    bool ranksHigher(const RankedTarget& one, const RankedTarget& other) { return one.hash > other.hash; }
 
 } // namespace
 
@@ -22,21 +22,21 @@
 {
     if (prefixes.size() < 2)
         return;
-    const std::uint64_t key = sharedRun(prefixes).key;
-    std::vector<Place> places;
-    places.reserve(usable.size());
+    const std::uint64_t key = longestSharedPrefix(prefixes).key;
+    std::vector<RankedTarget> ranked;
+    ranked.reserve(usable.size());
     for (const TargetModel* it : usable)
-        places.push_back({ stableHash(it->target().id.value, key), it });
-    const auto end = places.begin() + static_cast<std::ptrdiff_t>(std::min(mostRanked, places.size()));
-    std::partial_sort(places.begin(), end, places.end(), isBefore);
-    for (auto it = places.begin(); it != end; ++it)
-        m_first.push_back(it->model);
+        ranked.push_back({ stableHash(it->target().id.value, key), it });
+    const auto end = ranked.begin() + static_cast<std::ptrdiff_t>(std::min(maxRanked, ranked.size()));
+    std::partial_sort(ranked.begin(), end, ranked.end(), ranksHigher);
+    for (auto it = ranked.begin(); it != end; ++it)
+        m_homes.push_back(it->model);
 }
 
 std::optional<unsigned> HomeOrder::rankOf(const TargetModel& model) const
 {
-    const auto it = std::find(m_first.begin(), m_first.end(), &model);
-    return it == m_first.end() ? std::nullopt : std::optional(static_cast<unsigned>(it - m_first.begin()));
+    const auto it = std::find(m_homes.begin(), m_homes.end(), &model);
+    return it == m_homes.end() ? std::nullopt : std::optional(static_cast<unsigned>(it - m_homes.begin()));
 }
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/HomeOrder.h
+++ b/src/dispatch/HomeOrder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Which engines a shared part of a prompt belongs to.
+/// Home targets of a shared prompt prefix: the engines on which routers prefer to place it.
 
 #include "dispatch/TargetModel.h"
 
@@ -9,27 +9,31 @@
 
 namespace sagechute::dispatch {
 
-/// @param prefixes two or more. @return the longest run that others may share; the whole prompt belongs to the request
-///        alone.
-inline const PrefixKey& sharedRun(const std::vector<PrefixKey>& prefixes) { return prefixes[prefixes.size() - 2]; }
+/// @param prefixes two or more. @return the longest prefix that other requests may share; the whole prompt is taken to
+///        be unique to its request.
+inline const PrefixKey& longestSharedPrefix(const std::vector<PrefixKey>& prefixes)
+{
+    return prefixes[prefixes.size() - 2];
+}
 
-/// The first targets in a prompt's order. It is the same order in every router, and when a target goes it stays so for
-/// the others, so that routers which have not heard of each other's placements yet send a prompt to the same few.
+/// Top targets for a prompt by rendezvous hashing. All routers compute the same order, and the loss of a target does
+/// not change the order of the others, so routers that do not know of each other's placements yet send a prompt to the
+/// same few targets.
 ///
-/// Load pattern: prompts that are each asked for a few times a second, before hundreds of engines. What counts is a
-/// rank, not a place above some limit: with a limit that gives sixty engines two homes, 240 have eight, and each keeps
-/// the prompt for nobody until it is pushed out.
+/// The order is cut at a rank, not at a hash threshold, for fleets with hundreds of engines and prompts that are each
+/// requested a few times a second: a threshold that gives two targets of 60 gives eight of 240, and each then caches
+/// the prompt without a further request for it until it is evicted.
 class HomeOrder {
 public:
-    /// @param usable the targets that may be chosen. @param prefixes of the prompt; without a part that others may
-    ///        share it has no homes.
+    /// @param usable the targets that may be chosen. @param prefixes of the prompt; if none of them can be shared, no
+    ///        target is ranked.
     HomeOrder(const std::vector<TargetModel*>& usable, const std::vector<PrefixKey>& prefixes);
 
-    /// @return 0 for the first; absent for all after the first few.
+    /// @return 0 for the top target; absent for targets that are not among the first few.
     std::optional<unsigned> rankOf(const TargetModel&) const;
 
 private:
-    std::vector<const TargetModel*> m_first;
+    std::vector<const TargetModel*> m_homes;
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/KindBalance.cpp
+++ b/src/dispatch/KindBalance.cpp
@@ -7,42 +7,43 @@
 
 namespace {
 
-    /// Step of a factor's logarithm with each request. A router decides on some ten such requests a second; with 0.01
-    /// to 0.05 the worth is the same within noise, with 0.15 the factors follow chance and 0.02 of it is lost.
-    constexpr double step = 0.02;
+    /// Step of a factor's logarithm per request, at about ten such requests a second and router. Between 0.01 and 0.05
+    /// the effect is the same within noise; with 0.15 the factors follow noise, which costs 0.02 of the effect.
+    constexpr double stepSize = 0.02;
 
-    /// Bound of a factor's logarithm: a kind may wait for a fifth up to four and a half times as long.
-    constexpr double mostLogFactor = 1.5;
+    /// Bound of a factor's logarithm: the allowed wait can shrink to a fifth or grow to 4.5 times its value.
+    constexpr double maxLogFactor = 1.5;
 
-    /// The sums fall by half in this time: long against the gaps between requests, short against a flood.
+    /// Half-life of the sums: long compared with the time between requests, short compared with a flood.
     constexpr double halfLifeSeconds = 4;
 
 } // namespace
 
-double KindBalance::factor(const std::string& route) const
+double KindBalance::waitFactor(const std::string& route) const
 {
     const auto it = m_logFactors.find(route);
     if (it == m_logFactors.end())
         return 1;
-    // Against the others': all of them together must not wait longer or shorter, nor a kind that is the only one.
+    // Relative to the mean of all routes, so that neither all routes together nor an only route wait longer or shorter.
     double sum = 0;
     for (const auto& [other, logFactor] : m_logFactors)
         sum += logFactor;
     return std::exp(it->second - sum / static_cast<double>(m_logFactors.size()));
 }
 
-void KindBalance::decided(TimePoint now, const std::string& route, double tokens, bool isTaken)
+void KindBalance::recordDecision(TimePoint now, const std::string& route, double tokens, bool isAdmitted)
 {
-    const double passed = m_fadedAt ? std::chrono::duration<double>(now - *m_fadedAt).count() : 0;
-    m_fadedAt = now;
-    const double left = std::exp2(-passed / halfLifeSeconds);
-    m_askedTokens = left * m_askedTokens + tokens;
-    m_takenTokens = left * m_takenTokens + (isTaken ? tokens : 0);
-    if (m_askedTokens <= 0)
+    const double elapsedSeconds = m_decayedAt ? std::chrono::duration<double>(now - *m_decayedAt).count() : 0;
+    m_decayedAt = now;
+    const double remaining = std::exp2(-elapsedSeconds / halfLifeSeconds);
+    m_requestedTokens = remaining * m_requestedTokens + tokens;
+    m_admittedTokens = remaining * m_admittedTokens + (isAdmitted ? tokens : 0);
+    if (m_requestedTokens <= 0)
         return;
-    const double part = m_takenTokens / m_askedTokens;
+    const double admittedFraction = m_admittedTokens / m_requestedTokens;
     double& logFactor = m_logFactors[route];
-    logFactor = std::clamp(logFactor + step * (part - (isTaken ? 1 : 0)), -mostLogFactor, mostLogFactor);
+    logFactor
+        = std::clamp(logFactor + stepSize * (admittedFraction - (isAdmitted ? 1 : 0)), -maxLogFactor, maxLogFactor);
 }
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/KindBalance.h
+++ b/src/dispatch/KindBalance.h
@@ -1,38 +1,40 @@
 #pragma once
 
 /// @file
-/// Which kinds of request are taken more often than others, and what evens that out.
+/// Balances admission between kinds of requests, i.e. routes, with different latency goals.
 
 #include <sagechute/Dispatch.h>
 
 namespace sagechute::dispatch {
 
-/// Keeps requests of all kinds equally likely to be taken, among those that are turned away for load.
+/// Gives the requests of all routes the same chance of admission, among customers near or above their fair share. Each
+/// route is a kind.
 ///
-/// Load pattern: a customer is above its share for seconds, and its requests are taken while engines' queues are short.
-/// Queues fill up to what the most patient of them may wait. A kind with a goal of 600 ms then fills them, and one of
-/// 250 ms finds them too long nearly each time. Its callers get next to nothing, and what the others get beyond their
-/// part helps nobody as much.
+/// When a customer is above its share for seconds, its requests are admitted while the queues of the engines are short.
+/// The queues then fill up to the longest wait that any route allows: a route with a goal of 600 ms fills them, and a
+/// route with a goal of 250 ms nearly always finds them too long. Its callers get almost nothing, and what the other
+/// routes get beyond their part is of less use.
 ///
-/// Each kind has a factor on how long its requests may wait. With each request that is decided on it goes by a small
-/// step, up when it was turned away, down when it was taken, by so much that it stands still where the kind is taken as
-/// often as all.
+/// Each route has a factor on the wait that is allowed for its requests. Each decision on a request moves it by a small
+/// step, up after a refusal and down after an admission, such that it is stable when the route is admitted as often as
+/// all routes are.
 ///
-/// Worth it: 0.662 of what callers could get instead of 0.612 on days of floods (mean of five days, 9 routers before 9
-/// engines, two runs); in a replay of a flood of two kinds 12,674 requests of 30,000 on time instead of 9,766.
+/// Effect: callers get 0.662 instead of 0.612 of what they could get on days with floods (mean of five days, 9 routers
+/// before 9 engines, two runs); in a replay of a flood on two routes 12,674 instead of 9,766 of 30,000 requests are on
+/// time.
 class KindBalance {
 public:
-    /// @return the factor on how long requests of this kind may wait.
-    double factor(const std::string& route) const;
+    /// @return the factor to apply to the wait that is allowed for requests of this route.
+    double waitFactor(const std::string& route) const;
 
-    /// A request was decided on by how long it would wait. @param tokens its size.
-    void decided(TimePoint now, const std::string& route, double tokens, bool isTaken);
+    /// A request was admitted or refused by its predicted wait. @param tokens its size.
+    void recordDecision(TimePoint now, const std::string& route, double tokens, bool isAdmitted);
 
 private:
     std::map<std::string, double> m_logFactors; ///< By route.
-    double m_askedTokens = 0; ///< Of all kinds; for this and the next: sums that fade.
-    double m_takenTokens = 0;
-    std::optional<TimePoint> m_fadedAt;
+    double m_requestedTokens = 0; ///< Of all routes; decays exponentially, as does the next.
+    double m_admittedTokens = 0;
+    std::optional<TimePoint> m_decayedAt;
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/LocalDispatcher.cpp
+++ b/src/dispatch/LocalDispatcher.cpp
@@ -9,81 +9,86 @@
 
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /// A token that is generated keeps an engine busy for about as long as two that are read.
-    constexpr double writeWeight = 2;
+    /// Cost of an output token relative to an input token: generating one keeps an engine busy for about as long as
+    /// prefilling two.
+    constexpr double outputTokenWeight = 2;
 
-    /// Added to the cost of a target whose answers are all failures; one that fails half has half of it. Well above the
-    /// difference between a busy and an idle target, so that callers are spared a target that fails more than others.
+    /// Cost of a failure rate of 1; scaled by the actual rate. Well above the cost difference between a busy and an
+    /// idle target, so that targets that fail more than others are avoided.
     constexpr double failureCostMs = 400;
 
-    /// Each request in flight makes an engine's steps about this much longer.
+    /// Each request in flight makes an engine's decoding steps longer by about this much.
     constexpr double activeCostMs = 0.5;
 
-    /// Added where no room is left: the request would wait for another's end, or push one out.
+    /// Cost of a target without free memory or slots: the request would wait for another one to end, or preempt one.
     constexpr double noRoomCostMs = 1000;
 
-    /// A request is refused when it would wait for longer than its goal, for a customer that has had just its share, or
-    /// than a part of it that falls with a power of how far the customer is above: those that have had the most are
-    /// turned away first, and the engines' queues stay short for those that have had the least. These may be late
-    /// rather than turned away, those that have had less than half all the more.
-    constexpr double sharePower = 2;
-    constexpr double leastLimit = 0.1;
-    constexpr double mostLimit = 1.4;
-    constexpr double halfShare = 0.5;
-    constexpr double halfShareLimit = 3;
+    /// The allowed wait, relative to the route's goal, is 1 for a customer exactly at its share and falls with a power
+    /// of the share ratio. Customers with the most usage are refused first, and the queues of the engines stay short
+    /// for those with the least. Requests of the latter may be late rather than refused, even later if the customer has
+    /// had less than half of its share.
+    constexpr double overShareExponent = 2;
+    constexpr double minWaitFactor = 0.1;
+    constexpr double maxWaitFactor = 1.4;
+    constexpr double lowShare = 0.5;
+    constexpr double lowShareWaitFactor = 3;
 
-    /// From this multiple of its share a customer's requests begin to be turned away before they would be late.
-    constexpr double balancedShare = 0.7;
+    /// From this share ratio on, a customer's requests may be refused before they would be late; KindBalance applies
+    /// from here on.
+    constexpr double kindBalanceMinShare = 0.7;
 
-    /// Part of its goal that a request may wait for others which would be late even if it did not wait.
-    constexpr double lateWaitShare = 0.42;
+    /// Fraction of its goal for which a request may queue even if it would be late without any queueing.
+    constexpr double minWaitGoalFraction = 0.42;
 
-    /// A size that is starved may wait for so many times what others of its kind did: with just as long the largest
-    /// tenth of a flood is served 0.497 times as often as all on engines of 300 tokens a millisecond, with this 0.572
-    /// times, for 1 to 3 % fewer answers on time (means of 24 replays).
-    constexpr double starvedMargin = 1.05;
+    /// Allowed wait of a starved size class, as a multiple of the mean wait of the route's admitted requests. With a
+    /// factor of 1 the largest tenth of a flood is served 0.497 times as often as all requests on engines of 300 tokens
+    /// per millisecond, with this one 0.572 times, at the cost of 1 to 3 % fewer answers on time (means of 24 replays).
+    constexpr double starvedWaitFactor = 1.05;
 
-    /// Callers that were refused together must not return together.
-    constexpr double comeBackSpread = 0.5;
-    constexpr Duration leastComeBack = std::chrono::milliseconds(100);
-    constexpr Duration mostComeBack = std::chrono::seconds(3);
+    /// Callers that were refused at the same time must not retry at the same time.
+    constexpr double retryAfterJitter = 0.5;
+    constexpr Duration minRetryAfter = std::chrono::milliseconds(100);
+    constexpr Duration maxRetryAfter = std::chrono::seconds(3);
 
-    /// Targets turned the request away one after the other; by then their queues have moved.
-    constexpr Duration offeredComeBack = std::chrono::milliseconds(300);
+    /// Several targets have refused the request in turn; after this time their queues have moved on.
+    constexpr Duration triesExhaustedRetryAfter = std::chrono::milliseconds(300);
 
-    /// Callers that wait for the same target to end its pause return over so long.
-    constexpr Duration returnSpread = std::chrono::milliseconds(500);
+    /// Spreads the retries of callers that wait for the same target's pause to end.
+    constexpr Duration pauseEndJitter = std::chrono::milliseconds(500);
 
-    /// After so long a list of targets that lost one is read again.
-    constexpr Duration noTargetComeBack = std::chrono::milliseconds(700);
+    /// After this time the list of targets has been read again if a target was lost.
+    constexpr Duration noTargetRetryAfter = std::chrono::milliseconds(700);
 
-    /// By then it is known whether a target has ended.
-    constexpr Duration undecidedComeBack = std::chrono::milliseconds(500);
+    /// After this time it is known whether a target has crashed.
+    constexpr Duration undecidedRetryAfter = std::chrono::milliseconds(500);
 
     /// A quarantine lasts until an operator ends it.
-    constexpr Duration quarantinedComeBack = std::chrono::hours(1);
+    constexpr Duration quarantinedRetryAfter = std::chrono::hours(1);
 
-    double tokensOf(const PromptSize& prompt) { return prompt.tokensIn + writeWeight * prompt.tokensOut; }
+    double tokensOf(const PromptSize& prompt)
+    {
+        return prompt.inputTokens + outputTokenWeight * prompt.maxOutputTokens;
+    }
 
-    /// In a fleet of more routers than this, reports come over relays and are up to half a second old.
-    constexpr unsigned mostFreshRouters = 12;
+    /// With more routers than this, load reports come over relays and are up to half a second old.
+    constexpr unsigned maxDirectReportRouters = 12;
 
-    /// Of how many targets a router of a large fleet chooses the best, beside those that keep the prompt or are its
-    /// home.
-    constexpr double sampledTargets = 8;
+    /// Mean number of targets among which a router of a large fleet chooses the best, in addition to targets that have
+    /// the prompt cached or are its home.
+    constexpr double sampleSize = 8;
 
-    /// What speaks for a home, as a part of what speaks for the one before it in the prompt's order.
-    constexpr double nextHomeShare = 0.75;
+    /// Ratio of the bonus of a home target to that of the preceding one in HomeOrder.
+    constexpr double homeBonusDecay = 0.75;
 
-    /// Homes that are looked at whatever they are believed to keep: two, so that one that is busy or lost has a
-    /// successor that keeps the prompt.
-    constexpr unsigned homes = 2;
+    /// Number of home targets that are always considered, whatever they are believed to have cached. Two, so that a
+    /// busy or lost target has a successor with the prompt in its cache.
+    constexpr unsigned homeCount = 2;
 
-    /// Part of a prompt's shared tokens that its homes are taken to keep when nobody has told of it since the start.
-    /// With all of it too much is sent to homes that keep nothing, with none requests are refused that need little:
-    /// 0.75 and 0.80 of them are on time in the four seconds after the loss of all routers, 0.87 with half (replay, see
-    /// homeWeight).
-    constexpr double trustedPart = 0.5;
+    /// Fraction of a prompt's shared tokens that its home targets are assumed to have cached if no router has reported
+    /// the prompt since the start. With 1 too much is sent to homes without it; with 0 requests are refused that need
+    /// little prefill. In the four seconds after the loss of all routers 0.75 and 0.80 of the requests are on time,
+    /// compared with 0.87 with 0.5 (replay, see homeWeight).
+    constexpr double assumedCachedFraction = 0.5;
 
 } // namespace
 
@@ -109,48 +114,48 @@
 
 void LocalDispatcher::setTargets(TimePoint now, const std::vector<Target>& targets)
 {
-    if (!m_trustUntil)
-        m_trustUntil = now + m_settings.homesTrusted;
-    std::set<TargetLife> present;
+    if (!m_warmStartUntil)
+        m_warmStartUntil = now + m_settings.warmStartDuration;
+    std::set<TargetIncarnation> present;
     for (const Target& it : targets) {
-        present.insert(it.life());
+        present.insert(it.incarnation());
         const Service* service = m_table ? m_table->findService(it.service) : nullptr;
-        if (TargetModel* known = find(it.life()))
+        if (TargetModel* known = find(it.incarnation()))
             known->update(it, service);
         else
             m_targets.emplace(
-                it.life(), std::make_unique<TargetModel>(it, service, m_settings, typicalSpeed(it.service)));
+                it.incarnation(), std::make_unique<TargetModel>(it, service, m_settings, meanSpeed(it.service)));
     }
-    noteLostTargets(now, targets, present);
+    detectLostTargets(now, targets, present);
     std::erase_if(m_targets, [&](const auto& it) { return !present.contains(it.first); });
 }
 
-void LocalDispatcher::noteLostTargets(
-    TimePoint now, const std::vector<Target>& targets, const std::set<TargetLife>& present)
+void LocalDispatcher::detectLostTargets(
+    TimePoint now, const std::vector<Target>& targets, const std::set<TargetIncarnation>& present)
 {
     std::map<std::string_view, const Target*> started;
     for (const Target& it : targets) {
-        if (!m_listed.contains(it.life()))
+        if (!m_listedTargets.contains(it.incarnation()))
             started.emplace(it.address, &it);
     }
-    for (const auto& [life, model] : m_targets) {
+    for (const auto& [incarnation, model] : m_targets) {
         const Target& target = model->target();
-        if (target.draining || !m_listed.contains(life))
+        if (target.draining || !m_listedTargets.contains(incarnation))
             continue;
         const auto it = started.find(target.address);
         if (it != started.end() && it->second->service == target.service)
             m_crashes.replaced(now, model->key());
-        else if (!present.contains(life))
+        else if (!present.contains(incarnation))
             m_crashes.entryGone(now, model->key());
     }
-    m_listed = present;
+    m_listedTargets = present;
 }
 
-TargetSpeed LocalDispatcher::typicalSpeed(const ServiceId& service) const
+TargetSpeed LocalDispatcher::meanSpeed(const ServiceId& service) const
 {
     TargetSpeed sum { 0, 0 };
     unsigned n = 0;
-    for (const auto& [life, model] : m_targets) {
+    for (const auto& [incarnation, model] : m_targets) {
         if (model->target().service != service)
             continue;
         sum.slowness += model->speed().slowness;
@@ -162,8 +167,8 @@
 
 void LocalDispatcher::setRouterCount(unsigned n)
 {
-    m_routers = n;
-    m_mostRouters = std::max(m_mostRouters, n);
+    m_routerCount = n;
+    m_peakRouterCount = std::max(m_peakRouterCount, n);
 }
 
 bool LocalDispatcher::hasTargets() const
@@ -174,16 +179,16 @@
     });
 }
 
-SharesView LocalDispatcher::shares(TimePoint now) const
+FairShareSnapshot LocalDispatcher::shares(TimePoint now) const
 {
-    SharesView view = m_shares.view(now);
+    FairShareSnapshot view = m_shares.view(now);
     view.capacity = windowCapacity();
     return view;
 }
 
-TargetModel* LocalDispatcher::find(const TargetLife& life) const
+TargetModel* LocalDispatcher::find(const TargetIncarnation& incarnation) const
 {
-    const auto it = m_targets.find(life);
+    const auto it = m_targets.find(incarnation);
     return it == m_targets.end() ? nullptr : it->second.get();
 }
 
@@ -198,58 +203,58 @@
     return perSecond * std::chrono::duration<double>(m_settings.shareWindow).count();
 }
 
-std::optional<Refusal> LocalDispatcher::admitByCrashes(TimePoint now, quarantine::RequestKey key)
+std::optional<Refusal> LocalDispatcher::checkCrashGuard(TimePoint now, quarantine::RequestKey key)
 {
     switch (m_crashes.standing(now, key)) {
     case quarantine::Standing::Clear:
         return std::nullopt;
     case quarantine::Standing::Undecided:
-        return Refusal { RefusalReason::Quarantined, undecidedComeBack, {} };
+        return Refusal { RefusalReason::Quarantined, undecidedRetryAfter, {} };
     case quarantine::Standing::Quarantined:
         break;
     }
-    return Refusal { RefusalReason::Quarantined, quarantinedComeBack, {} };
+    return Refusal { RefusalReason::Quarantined, quarantinedRetryAfter, {} };
 }
 
-Decision LocalDispatcher::place(TimePoint now, const Demand& demand, Round round)
+Decision LocalDispatcher::place(TimePoint now, const PlacementRequest& request, AttemptKind kind)
 {
-    if (const std::optional<Refusal> refusal = admitByCrashes(now, demand.key))
+    if (const std::optional<Refusal> refusal = checkCrashGuard(now, request.key))
         return *refusal;
-    const std::vector<PrefixKey> prefixes = prefixesOf(demand.prompt.parts);
-    const double tokens = tokensOf(demand.prompt);
-    if (round == Round::First) {
-        retries(demand.service).countRequest(now);
-        m_shares.asked(now, demand.customer, tokens);
+    const std::vector<PrefixKey> prefixes = prefixesOf(request.prompt.parts);
+    const double tokens = tokensOf(request.prompt);
+    if (kind == AttemptKind::First) {
+        retries(request.service).countRequest(now);
+        m_shares.requested(now, request.customer, tokens);
     }
-    std::optional<Candidate> best = choose(now, demand, prefixes);
+    std::optional<Candidate> best = choose(now, request, prefixes);
     if (!best)
-        return refuseUnplaced(now, demand.service, noTargetComeBack);
-    if (const std::optional<Refusal> refusal = admit(now, demand, *best))
+        return refuseUnplaced(now, request.service, noTargetRetryAfter);
+    if (const std::optional<Refusal> refusal = admit(now, request, *best))
         return *refusal;
-    if (round == Round::AfterArrival && !retries(demand.service).take(now, m_mostRouters))
-        return refuse(RefusalReason::RetryBudget, noTargetComeBack);
-    if (round == Round::First)
-        m_shares.granted(now, demand.customer, tokens);
-    return commit(now, demand, *best, prefixes);
+    if (kind == AttemptKind::RetryAfterSend && !retries(request.service).tryAcquire(now, m_peakRouterCount))
+        return refuse(RefusalReason::RetryBudget, noTargetRetryAfter);
+    if (kind == AttemptKind::First)
+        m_shares.granted(now, request.customer, tokens);
+    return commit(now, request, *best, prefixes);
 }
 
 std::optional<LocalDispatcher::Candidate> LocalDispatcher::choose(
-    TimePoint now, const Demand& demand, const std::vector<PrefixKey>& prefixes)
+    TimePoint now, const PlacementRequest& request, const std::vector<PrefixKey>& prefixes)
 {
     std::optional<Candidate> best;
-    // Where reports are old, all routers see the same few targets idle and would send to them together. Each looks at
-    // a part of its own instead.
-    const double sampledPart
-        = m_routers > mostFreshRouters ? sampledTargets / std::max<double>(1, m_targets.size()) : 1;
-    // A second look takes those that were tried or are avoided: better a doubtful target than none.
-    for (const bool isPicky : { true, false }) {
-        const std::vector<TargetModel*> usable = usableTargets(now, demand, isPicky);
+    // With old reports, all routers see the same few targets as idle and would overload them together. Each router
+    // considers a random sample instead.
+    const double sampleProbability
+        = m_routerCount > maxDirectReportRouters ? sampleSize / std::max<double>(1, m_targets.size()) : 1;
+    // The second pass includes targets that were tried or are avoided, as a doubtful target is better than none.
+    for (const bool isFirstPass : { true, false }) {
+        const std::vector<TargetModel*> usable = usableTargets(now, request, isFirstPass);
         const HomeOrder homeOrder(usable, prefixes);
         for (TargetModel* model : usable) {
             const std::optional<unsigned> homeRank = homeOrder.rankOf(*model);
-            if (isPicky && !isConsidered(*model, demand, prefixes, homeRank, sampledPart))
+            if (isFirstPass && !isInSample(*model, request, prefixes, homeRank, sampleProbability))
                 continue;
-            const Candidate candidate = weigh(now, *model, demand, prefixes, homeRank);
+            const Candidate candidate = score(now, *model, request, prefixes, homeRank);
             if (!best || candidate.cost < best->cost)
                 best = candidate;
         }
@@ -259,174 +264,177 @@
     return best;
 }
 
-std::vector<TargetModel*> LocalDispatcher::usableTargets(TimePoint now, const Demand& demand, bool isPicky) const
+std::vector<TargetModel*> LocalDispatcher::usableTargets(
+    TimePoint now, const PlacementRequest& request, bool isFirstPass) const
 {
     std::vector<TargetModel*> usable;
     usable.reserve(m_targets.size());
-    for (const auto& [life, model] : m_targets) {
-        if (model->target().service != demand.service || !takesRequests(now, life, *model))
+    for (const auto& [incarnation, model] : m_targets) {
+        if (model->target().service != request.service || !takesRequests(now, incarnation, *model))
             continue;
-        const bool isAvoided = model->isAvoided(now) || m_backoffs.isOnTrial(now, life);
-        if (isPicky && (isAvoided || demand.tried.contains(life)))
+        const bool isAvoided = model->isAvoided(now) || m_backoffs.isOnTrial(now, incarnation);
+        if (isFirstPass && (isAvoided || request.tried.contains(incarnation)))
             continue;
         usable.push_back(model.get());
     }
     return usable;
 }
 
-bool LocalDispatcher::isConsidered(const TargetModel& model, const Demand& demand,
-    const std::vector<PrefixKey>& prefixes, std::optional<unsigned> homeRank, double sampledPart)
+bool LocalDispatcher::isInSample(const TargetModel& model, const PlacementRequest& request,
+    const std::vector<PrefixKey>& prefixes, std::optional<unsigned> homeRank, double sampleProbability)
 {
-    if (sampledPart >= 1 || m_random.fraction() < sampledPart)
+    if (sampleProbability >= 1 || m_random.fraction() < sampleProbability)
         return true;
     if (prefixes.size() < 2)
         return false;
-    const std::uint32_t own = prefixes.back().tokens;
-    return (homeRank && *homeRank < homes) || model.tokensToRead(demand.prompt, prefixes) <= own;
+    const std::uint32_t unshared = prefixes.back().tokens;
+    return (homeRank && *homeRank < homeCount) || model.prefillTokens(request.prompt, prefixes) <= unshared;
 }
 
-LocalDispatcher::Candidate LocalDispatcher::weigh(TimePoint now, TargetModel& model, const Demand& demand,
+LocalDispatcher::Candidate LocalDispatcher::score(TimePoint now, TargetModel& model, const PlacementRequest& request,
     const std::vector<PrefixKey>& prefixes, std::optional<unsigned> homeRank) const
 {
     Candidate candidate { &model };
-    candidate.tokensToRead = model.tokensToRead(demand.prompt, prefixes);
-    if (homeRank && *homeRank < homes && isTrusted(now, prefixes)) {
-        const std::uint32_t own = std::min(candidate.tokensToRead, prefixes.back().tokens);
-        const double shared = candidate.tokensToRead - own;
-        candidate.tokensToRead = own + static_cast<std::uint32_t>((1 - trustedPart) * shared);
+    candidate.prefillTokens = model.prefillTokens(request.prompt, prefixes);
+    if (homeRank && *homeRank < homeCount && isAssumedCached(now, prefixes)) {
+        const std::uint32_t unshared = std::min(candidate.prefillTokens, prefixes.back().tokens);
+        const double shared = candidate.prefillTokens - unshared;
+        candidate.prefillTokens = unshared + static_cast<std::uint32_t>((1 - assumedCachedFraction) * shared);
     }
-    const TargetUse inFlight = model.use(now);
-    candidate.predictedFirst = model.predictFirst(inFlight, candidate.tokensToRead);
-    double cost = Milliseconds(candidate.predictedFirst).count();
-    cost += (m_settings.readWeight - 1) * candidate.tokensToRead / m_settings.readTokensPerMs;
-    cost += failureCostMs * model.failureShare();
+    const TargetLoad inFlight = model.totalLoad(now);
+    candidate.predictedFirstEventDelay = model.predictFirstEventDelay(inFlight, candidate.prefillTokens);
+    double cost = Milliseconds(candidate.predictedFirstEventDelay).count();
+    cost += (m_settings.prefillWeight - 1) * candidate.prefillTokens / m_settings.prefillTokensPerMs;
+    cost += failureCostMs * model.failureRate();
     cost += activeCostMs * inFlight.active;
     if (model.target().zone != m_ownZone)
-        cost += zoneCostMs(demand);
-    if (!model.hasRoom(inFlight, demand.prompt.tokensIn + demand.prompt.tokensOut))
+        cost += zoneCostMs(request);
+    if (!model.hasRoom(inFlight, request.prompt.inputTokens + request.prompt.maxOutputTokens))
         cost += noRoomCostMs;
     if (homeRank)
-        cost -= homeBonusMs(demand.prompt, prefixes) * std::pow(nextHomeShare, *homeRank);
+        cost -= homeBonusMs(request.prompt, prefixes) * std::pow(homeBonusDecay, *homeRank);
     candidate.cost = cost;
     return candidate;
 }
 
 double LocalDispatcher::homeBonusMs(const PromptSize& prompt, const std::vector<PrefixKey>& prefixes) const
 {
-    const std::uint32_t shared = prompt.tokensIn - std::min(prompt.tokensIn, prefixes.back().tokens);
-    return m_settings.homeWeight * shared / m_settings.readTokensPerMs;
+    const std::uint32_t shared = prompt.inputTokens - std::min(prompt.inputTokens, prefixes.back().tokens);
+    return m_settings.homeWeight * shared / m_settings.prefillTokensPerMs;
 }
 
-bool LocalDispatcher::isTrusted(TimePoint now, const std::vector<PrefixKey>& prefixes) const
+bool LocalDispatcher::isAssumedCached(TimePoint now, const std::vector<PrefixKey>& prefixes) const
 {
-    return isTrusting(now) && !m_heardOf.contains(sharedRun(prefixes).key);
+    return isWarmStart(now) && !m_knownPrefixes.contains(longestSharedPrefix(prefixes).key);
 }
 
-void LocalDispatcher::heardOf(TimePoint now, std::uint64_t prefix)
+void LocalDispatcher::markPrefixKnown(TimePoint now, std::uint64_t prefix)
 {
-    // Later nobody asks, and a router that lives for weeks hears of ever more prompts.
-    if (isTrusting(now))
-        m_heardOf.insert(prefix);
+    // The set is only used during a warm start and would otherwise grow without bound in a long-running router.
+    if (isWarmStart(now))
+        m_knownPrefixes.insert(prefix);
     else
-        m_heardOf.clear();
+        m_knownPrefixes.clear();
 }
 
-double LocalDispatcher::zoneCostMs(const Demand& demand) const
+double LocalDispatcher::zoneCostMs(const PlacementRequest& request) const
 {
     constexpr double kilobyte = 1024;
-    // Each event has a frame of its own around some bytes a token.
+    // Each event adds framing to a few bytes per token.
     constexpr double answerBytesPerToken = 20;
-    const double bytes
-        = static_cast<double>(demand.bytes) + answerBytesPerToken * static_cast<double>(demand.prompt.tokensOut);
+    const double bytes = static_cast<double>(request.bytes)
+        + answerBytesPerToken * static_cast<double>(request.prompt.maxOutputTokens);
     return Milliseconds(m_settings.zonePenalty).count()
         + bytes / kilobyte * Milliseconds(m_settings.zonePenaltyPerKilobyte).count();
 }
 
-double LocalDispatcher::waitLimit(double share) const
+double LocalDispatcher::waitFactorForShare(double share) const
 {
     if (share <= 0)
-        return m_settings.admitShare;
-    if (share < halfShare)
-        return m_settings.admitShare * halfShareLimit;
-    return m_settings.admitShare * std::clamp(1 / std::pow(share, sharePower), leastLimit, mostLimit);
+        return m_settings.admissionGoalFraction;
+    if (share < lowShare)
+        return m_settings.admissionGoalFraction * lowShareWaitFactor;
+    return m_settings.admissionGoalFraction
+        * std::clamp(1 / std::pow(share, overShareExponent), minWaitFactor, maxWaitFactor);
 }
 
-std::optional<Refusal> LocalDispatcher::admit(TimePoint now, const Demand& demand, Candidate& best)
+std::optional<Refusal> LocalDispatcher::admit(TimePoint now, const PlacementRequest& request, Candidate& best)
 {
-    const Duration goal = demand.route->goal;
+    const Duration goal = request.route->goal;
     if (goal <= Duration::zero())
         return std::nullopt;
-    const bool isEngine = !demand.prompt.parts.empty() || demand.prompt.tokensIn > 0;
+    const bool isEngine = !request.prompt.parts.empty() || request.prompt.inputTokens > 0;
     const bool isShared = isEngine && windowCapacity() > 0;
     Admission& admission = best.admission;
-    const double share = isShared ? m_shares.overShare(now, demand.customer, windowCapacity()) : 0;
+    const double share = isShared ? m_shares.shareRatio(now, request.customer, windowCapacity()) : 0;
     admission.share = share;
-    admission.sumsAge = m_shares.sumsAge(now);
-    admission.isFarAbove = isShared && m_shares.isFarAboveOthers(now, demand.customer);
+    admission.oldestReportAge = m_shares.oldestReportAge(now);
+    admission.isFarAbove = isShared && m_shares.isFarAboveOthers(now, request.customer);
     if (admission.isFarAbove)
-        return refuse(RefusalReason::OverShare, noTargetComeBack, admission);
-    const Duration own = best.model->readTime(best.tokensToRead);
-    admission.wait = best.predictedFirst - own;
-    const double tokens = tokensOf(demand.prompt);
-    SizeBalance& sizes = m_sizes[{ demand.route->name, share > 1 }];
-    allowWait(admission, demand, own, sizes);
-    const bool isTaken = admission.wait <= admission.allowed;
-    sizes.decided(now, tokens, admission.wait, isTaken);
-    if (share > balancedShare)
-        m_kinds[demand.service].decided(now, demand.route->name, tokens, isTaken);
-    if (isTaken)
+        return refuse(RefusalReason::OverShare, noTargetRetryAfter, admission);
+    const Duration prefillDuration = best.model->prefillTime(best.prefillTokens);
+    admission.wait = best.predictedFirstEventDelay - prefillDuration;
+    const double tokens = tokensOf(request.prompt);
+    SizeBalance& sizes = m_sizeBalances[{ request.route->name, share > 1 }];
+    setAllowedWait(admission, request, prefillDuration, sizes);
+    const bool isAdmitted = admission.wait <= admission.allowed;
+    sizes.recordDecision(now, tokens, admission.wait, isAdmitted);
+    if (share > kindBalanceMinShare)
+        m_kindBalances[request.service].recordDecision(now, request.route->name, tokens, isAdmitted);
+    if (isAdmitted)
         return std::nullopt;
-    const Duration tooLong = admission.wait - admission.allowed;
-    return refuse(share > 1 ? RefusalReason::OverShare : RefusalReason::Overloaded, tooLong, admission);
+    const Duration excessWait = admission.wait - admission.allowed;
+    return refuse(share > 1 ? RefusalReason::OverShare : RefusalReason::Overloaded, excessWait, admission);
 }
 
-void LocalDispatcher::allowWait(
-    Admission& admission, const Demand& demand, Duration own, const SizeBalance& sizes) const
+void LocalDispatcher::setAllowedWait(
+    Admission& admission, const PlacementRequest& request, Duration prefillDuration, const SizeBalance& sizes) const
 {
-    const Duration goal = demand.route->goal;
-    const double tokens = tokensOf(demand.prompt);
+    const Duration goal = request.route->goal;
+    const double tokens = tokensOf(request.prompt);
     const SizeBalance::Standing standing = sizes.standing(tokens);
-    const bool isHelped = standing != SizeBalance::Standing::Even;
-    const double countedPart = isHelped ? std::min(1.0, sizes.meanTokens() / tokens) : 1;
-    // A large prompt takes longer to read than its goal allows. Refusing it for that would refuse it for good, so it
-    // may wait for others like a small one, for a part of its goal; it counts like one of the mean size where its size
-    // was turned away far more often, and waits as long as others of its kind did where that is not enough. Without
-    // that, 0.11 to 0.16 of a flooding customer's largest tenth are served and 0.46 to 0.56 of all, with it half as
-    // many as of all (replay of a flood of many sizes, engines of 22 to 300 tokens a millisecond).
-    const auto upTo = [&](double limit, double part) {
-        const auto onTime = std::chrono::duration_cast<Duration>(limit * goal - part * own);
-        const auto leastWait = std::chrono::duration_cast<Duration>(limit * lateWaitShare * goal);
-        return std::max(onTime, leastWait);
+    const bool isBoosted = standing != SizeBalance::Standing::Proportional;
+    const double countedFraction = isBoosted ? std::min(1.0, sizes.meanTokens() / tokens) : 1;
+    // The prefill of a large prompt can take longer than its goal. Refusing it for that would refuse it every time, so
+    // it may queue like a small one, for a fraction of its goal. If its size class is refused far more often than
+    // others, its prefill counts as that of a mean-sized request; if that is not enough, it may wait as long as other
+    // requests of the route did. Without this, 0.11 to 0.16 of a flooding customer's largest tenth are served and 0.46
+    // to 0.56 of all its requests; with it, the largest tenth is served half as often as all (replay of a flood of many
+    // sizes, engines of 22 to 300 tokens per millisecond).
+    const auto waitAllowedFor = [&](double limit, double part) {
+        const auto onTimeWait = std::chrono::duration_cast<Duration>(limit * goal - part * prefillDuration);
+        const auto minWait = std::chrono::duration_cast<Duration>(limit * minWaitGoalFraction * goal);
+        return std::max(onTimeWait, minWait);
     };
-    const double limit = waitLimit(admission.share);
-    Duration allowed = upTo(limit, countedPart);
-    const auto kinds = m_kinds.find(demand.service);
-    if (admission.share > balancedShare && kinds != m_kinds.end()) {
-        const double factor = kinds->second.factor(demand.route->name);
-        allowed = std::chrono::duration_cast<Duration>(factor * allowed);
+    const double limit = waitFactorForShare(admission.share);
+    Duration allowed = waitAllowedFor(limit, countedFraction);
+    const auto kindBalance = m_kindBalances.find(request.service);
+    if (admission.share > kindBalanceMinShare && kindBalance != m_kindBalances.end()) {
+        const double waitFactor = kindBalance->second.waitFactor(request.route->name);
+        allowed = std::chrono::duration_cast<Duration>(waitFactor * allowed);
     }
-    admission.allowed = std::min(allowed, upTo(std::max(limit, m_settings.admitShare), 1));
+    admission.allowed = std::min(allowed, waitAllowedFor(std::max(limit, m_settings.admissionGoalFraction), 1));
     if (standing != SizeBalance::Standing::Starved)
         return;
-    const auto helped = std::chrono::duration_cast<Duration>(starvedMargin * sizes.takenWait());
-    admission.isSizeHelped = helped > admission.allowed;
-    admission.allowed = std::max(admission.allowed, helped);
+    const auto boostedWait = std::chrono::duration_cast<Duration>(starvedWaitFactor * sizes.meanAdmittedWait());
+    admission.isSizeBoosted = boostedWait > admission.allowed;
+    admission.allowed = std::max(admission.allowed, boostedWait);
 }
 
-Refusal LocalDispatcher::refuse(RefusalReason reason, Duration comeBack, const Admission& admission)
+Refusal LocalDispatcher::refuse(RefusalReason reason, Duration retryAfter, const Admission& admission)
 {
-    const double spread = 1 + comeBackSpread * m_random.fraction();
-    const Duration spreadOut = std::chrono::duration_cast<Duration>(comeBack * spread);
-    return { reason, std::clamp(spreadOut, leastComeBack, mostComeBack), admission };
+    const double spread = 1 + retryAfterJitter * m_random.fraction();
+    const Duration jittered = std::chrono::duration_cast<Duration>(retryAfter * spread);
+    return { reason, std::clamp(jittered, minRetryAfter, maxRetryAfter), admission };
 }
 
-std::optional<TimePoint> LocalDispatcher::allPausedUntil(TimePoint now, const ServiceId& service) const
+std::optional<TimePoint> LocalDispatcher::earliestPauseEnd(TimePoint now, const ServiceId& service) const
 {
     std::optional<TimePoint> first;
-    for (const auto& [life, model] : m_targets) {
+    for (const auto& [incarnation, model] : m_targets) {
         if (model->target().service != service || model->target().draining)
             continue;
-        const std::optional<TimePoint> end = m_backoffs.end(now, life);
+        const std::optional<TimePoint> end = m_backoffs.pauseEnd(now, incarnation);
         if (!end)
             return std::nullopt;
         first = std::min(first.value_or(*end), *end);
@@ -436,75 +444,76 @@
 
 Refusal LocalDispatcher::refuseUnplaced(TimePoint now, const ServiceId& service, Duration otherwise)
 {
-    const std::optional<TimePoint> until = allPausedUntil(now, service);
+    const std::optional<TimePoint> until = earliestPauseEnd(now, service);
     if (!until)
         return refuse(RefusalReason::NoTarget, otherwise);
-    const auto spread = std::chrono::duration_cast<Duration>(m_random.fraction() * returnSpread);
+    const auto spread = std::chrono::duration_cast<Duration>(m_random.fraction() * pauseEndJitter);
     return { RefusalReason::Backoff, *until - now + spread, {} };
 }
 
 Refusal LocalDispatcher::giveUp(TimePoint now, const ServiceId& service)
 {
-    return refuseUnplaced(now, service, offeredComeBack);
+    return refuseUnplaced(now, service, triesExhaustedRetryAfter);
 }
 
-bool LocalDispatcher::backOff(TimePoint now, const TargetLife& life, Duration pause)
+bool LocalDispatcher::backOff(TimePoint now, const TargetIncarnation& incarnation, Duration pause)
 {
-    return m_backoffs.ask(now, life, pause);
+    return m_backoffs.recordBackoff(now, incarnation, pause);
 }
 
-bool LocalDispatcher::maySend(TimePoint now, const TargetLife& life) const
+bool LocalDispatcher::maySend(TimePoint now, const TargetIncarnation& incarnation) const
 {
-    const TargetModel* model = find(life);
-    return model && takesRequests(now, life, *model);
+    const TargetModel* model = find(incarnation);
+    return model && takesRequests(now, incarnation, *model);
 }
 
-bool LocalDispatcher::takesRequests(TimePoint now, const TargetLife& life, const TargetModel& model) const
+bool LocalDispatcher::takesRequests(TimePoint now, const TargetIncarnation& incarnation, const TargetModel& model) const
 {
-    return !model.target().draining && !m_backoffs.isPaused(now, life);
+    return !model.target().draining && !m_backoffs.isPaused(now, incarnation);
 }
 
 Placement LocalDispatcher::commit(
-    TimePoint now, const Demand& demand, const Candidate& best, const std::vector<PrefixKey>& prefixes)
+    TimePoint now, const PlacementRequest& request, const Candidate& best, const std::vector<PrefixKey>& prefixes)
 {
-    const std::uint32_t memoryTokens = demand.prompt.tokensIn + demand.prompt.tokensOut;
-    best.model->placed(now, best.tokensToRead, memoryTokens, prefixes, best.predictedFirst);
-    const TargetLife life = best.model->target().life();
-    m_backoffs.placed(now, life, m_settings.avoidAfterFailure);
-    notePlaced(now, best.model->key(), prefixes);
+    const std::uint32_t reservedTokens = request.prompt.inputTokens + request.prompt.maxOutputTokens;
+    best.model->placed(now, best.prefillTokens, reservedTokens, prefixes, best.predictedFirstEventDelay);
+    const TargetIncarnation incarnation = best.model->target().incarnation();
+    m_backoffs.placed(now, incarnation, m_settings.avoidAfterFailure);
+    recordPlacement(now, best.model->key(), prefixes);
     m_crashes.sent(now, best.model->key(), best.model->target().address);
     m_attempts[++m_lastAttempt]
-        = { life, best.tokensToRead, memoryTokens, now, best.predictedFirst, false, demand.key };
-    return { m_lastAttempt, best.model->target(), best.tokensToRead, best.predictedFirst, best.admission };
+        = { incarnation, best.prefillTokens, reservedTokens, now, best.predictedFirstEventDelay, false, request.key };
+    return { m_lastAttempt, best.model->target(), best.prefillTokens, best.predictedFirstEventDelay, best.admission };
 }
 
-void LocalDispatcher::notePlaced(TimePoint now, TargetKey target, const std::vector<PrefixKey>& prefixes)
+void LocalDispatcher::recordPlacement(TimePoint now, TargetKey target, const std::vector<PrefixKey>& prefixes)
 {
     if (prefixes.empty())
         return;
-    PlacedPrompts& placed = m_placed[target];
+    PlacedPrompts& placed = m_newlyPlaced[target];
     for (auto it = prefixes.begin(); it + 1 != prefixes.end(); ++it) {
         placed.shared.emplace(it->key, it->tokens);
-        heardOf(now, it->key);
+        markPrefixKnown(now, it->key);
     }
-    placed.ownTokens += prefixes.back().tokens;
+    placed.unsharedTokens += prefixes.back().tokens;
 }
 
-void LocalDispatcher::turnedAway(TimePoint now, const CustomerId& customer, const PromptSize& prompt)
+void LocalDispatcher::shed(TimePoint now, const CustomerId& customer, const PromptSize& prompt)
 {
-    m_shares.turnedAway(now, customer, tokensOf(prompt));
+    m_shares.shed(now, customer, tokensOf(prompt));
 }
 
 void LocalDispatcher::firstAnswer(TimePoint now, AttemptId id)
 {
     const auto it = m_attempts.find(id);
-    if (it == m_attempts.end() || it->second.hasFirst)
+    if (it == m_attempts.end() || it->second.hasFirstAnswer)
         return;
     Attempt& attempt = it->second;
-    attempt.hasFirst = true;
+    attempt.hasFirstAnswer = true;
     m_backoffs.served(now, attempt.target);
     if (TargetModel* model = find(attempt.target))
-        model->firstAnswer(attempt.placedAt, attempt.tokensToRead, attempt.predictedFirst, now - attempt.placedAt);
+        model->firstAnswer(
+            attempt.placedAt, attempt.prefillTokens, attempt.predictedFirstEventDelay, now - attempt.placedAt);
 }
 
 void LocalDispatcher::ended(TimePoint now, AttemptId id, AttemptEnd end)
@@ -515,22 +524,22 @@
     const Attempt attempt = it->second;
     m_attempts.erase(it);
     TargetModel* model = find(attempt.target);
-    noteEnd(now, attempt, model != nullptr && !model->target().draining, end);
+    recordEndForCrashGuard(now, attempt, model != nullptr && !model->target().draining, end);
     if (end == AttemptEnd::Answered)
         m_backoffs.served(now, attempt.target);
     if (!model)
         return;
-    // No first event: what it would have read isn't ahead of others any more, and teaches nothing of its speed.
-    if (!attempt.hasFirst)
-        model->firstAnswer(attempt.placedAt, attempt.tokensToRead, Duration::zero(), Duration::zero());
-    // A target that says when it takes requests again has not failed.
+    // Without a first event, its prefill no longer delays other requests, and the speed estimate is not updated.
+    if (!attempt.hasFirstAnswer)
+        model->firstAnswer(attempt.placedAt, attempt.prefillTokens, Duration::zero(), Duration::zero());
+    // A target that asked for a pause has not failed.
     const bool hasAskedForPause = end == AttemptEnd::NotRun && m_backoffs.isPaused(now, attempt.target);
-    model->released(attempt.memoryTokens);
+    model->released(attempt.reservedTokens);
     if (!hasAskedForPause)
-        model->judged(now, end, now - attempt.placedAt);
+        model->recordOutcome(now, end, now - attempt.placedAt);
 }
 
-void LocalDispatcher::noteEnd(TimePoint now, const Attempt& attempt, bool isListed, AttemptEnd end)
+void LocalDispatcher::recordEndForCrashGuard(TimePoint now, const Attempt& attempt, bool isListed, AttemptEnd end)
 {
     const TargetKey target = dispatch::keyOf(attempt.target);
     const bool isBroken = end == AttemptEnd::Broken || end == AttemptEnd::Silent;
@@ -546,40 +555,40 @@
 {
     LoadReport report;
     report.serial = ++m_reportSerial;
-    for (const auto& [life, model] : m_targets) {
-        if (model->ownUse().active)
-            report.targets[model->key()] = model->ownUse();
+    for (const auto& [incarnation, model] : m_targets) {
+        if (model->localLoad().active)
+            report.targets[model->key()] = model->localLoad();
     }
-    report.customers = m_shares.own(now);
+    report.customers = m_shares.localUsage(now);
     const std::vector<quarantine::CrashRecord> crashes = m_crashes.tell();
     report.crashes = { crashes.begin(), crashes.end() };
-    report.placed = m_placedBefore;
-    for (const auto& [key, placed] : m_placed) {
-        PlacedPrompts& told = report.placed[key];
-        told.shared.insert(placed.shared.begin(), placed.shared.end());
-        // Told once: what is told twice would push out twice as much.
-        told.ownTokens = placed.ownTokens;
+    report.placed = m_previouslyPlaced;
+    for (const auto& [key, placed] : m_newlyPlaced) {
+        PlacedPrompts& reported = report.placed[key];
+        reported.shared.insert(placed.shared.begin(), placed.shared.end());
+        // Reported only once: peers would model twice the evictions otherwise.
+        reported.unsharedTokens = placed.unsharedTokens;
     }
-    for (auto& [key, placed] : m_placed)
-        placed.ownTokens = 0;
-    m_placedBefore = std::move(m_placed);
-    m_placed.clear();
+    for (auto& [key, placed] : m_newlyPlaced)
+        placed.unsharedTokens = 0;
+    m_previouslyPlaced = std::move(m_newlyPlaced);
+    m_newlyPlaced.clear();
     return report;
 }
 
 void LocalDispatcher::peerReported(TimePoint now, const VmId& peer, const LoadReport& report)
 {
-    for (auto& [life, model] : m_targets) {
+    for (auto& [incarnation, model] : m_targets) {
         const auto use = report.targets.find(model->key());
-        model->peerUse(now, peer, use == report.targets.end() ? TargetUse {} : use->second);
+        model->setPeerLoad(now, peer, use == report.targets.end() ? TargetLoad {} : use->second);
         if (const auto placed = report.placed.find(model->key()); placed != report.placed.end())
-            model->peerPlaced(placed->second);
+            model->recordPeerPlacements(placed->second);
     }
-    m_shares.peerUse(now, peer, report.customers, report.age);
+    m_shares.setPeerUsage(now, peer, report.customers, report.age);
     m_crashes.learn(now, report.crashes);
     for (const auto& [key, placed] : report.placed) {
         for (const auto& [prompt, tokens] : placed.shared)
-            heardOf(now, prompt);
+            markPrefixKnown(now, prompt);
     }
 }
 
--- a/src/dispatch/LocalDispatcher.h
+++ b/src/dispatch/LocalDispatcher.h
@@ -12,124 +12,129 @@
 
 namespace sagechute::dispatch {
 
-/// Dispatcher over the models of all targets.
+/// Dispatcher that keeps a TargetModel per target incarnation.
 class LocalDispatcher final : public Dispatcher {
 public:
     LocalDispatcher(const DispatchSettings&, ZoneId ownZone, std::uint64_t seed);
 
     void setConfig(std::shared_ptr<const RoutingTable>) override;
     void setTargets(TimePoint now, const std::vector<Target>&) override;
-    Decision place(TimePoint now, const Demand&, Round) override;
-    void turnedAway(TimePoint now, const CustomerId&, const PromptSize&) override;
+    Decision place(TimePoint now, const PlacementRequest&, AttemptKind) override;
+    void shed(TimePoint now, const CustomerId&, const PromptSize&) override;
     void firstAnswer(TimePoint now, AttemptId) override;
     void ended(TimePoint now, AttemptId, AttemptEnd) override;
-    bool backOff(TimePoint now, const TargetLife&, Duration) override;
-    bool maySend(TimePoint now, const TargetLife&) const override;
+    bool backOff(TimePoint now, const TargetIncarnation&, Duration) override;
+    bool maySend(TimePoint now, const TargetIncarnation&) const override;
     Refusal giveUp(TimePoint now, const ServiceId&) override;
     LoadReport report(TimePoint now) override;
     void peerReported(TimePoint now, const VmId& peer, const LoadReport&) override;
     void setRouterCount(unsigned n) override;
     bool hasTargets() const override;
-    SharesView shares(TimePoint now) const override;
+    FairShareSnapshot shares(TimePoint now) const override;
     quarantine::CrashGuard& crashes() override { return m_crashes; }
 
 private:
     struct Attempt {
-        TargetLife target;
-        std::uint32_t tokensToRead = 0;
-        std::uint32_t memoryTokens = 0;
+        TargetIncarnation target;
+        std::uint32_t prefillTokens = 0;
+        std::uint32_t reservedTokens = 0;
         TimePoint placedAt;
-        Duration predictedFirst {};
-        bool hasFirst = false;
+        Duration predictedFirstEventDelay {};
+        bool hasFirstAnswer = false;
         quarantine::RequestKey key = 0;
     };
 
-    /// A target that may take the request, and what speaks for it.
+    /// A target that can take the request, with its cost.
     struct Candidate {
         TargetModel* model = nullptr;
-        std::uint32_t tokensToRead = 0;
-        Duration predictedFirst {};
+        std::uint32_t prefillTokens = 0;
+        Duration predictedFirstEventDelay {};
         double cost = 0;
         Admission admission;
     };
 
-    /// @return whether the target neither leaves nor pauses.
-    bool takesRequests(TimePoint now, const TargetLife&, const TargetModel&) const;
+    /// @return whether the target is neither draining nor in a backoff pause.
+    bool takesRequests(TimePoint now, const TargetIncarnation&, const TargetModel&) const;
 
-    /// @return when the first of the service's targets takes requests again; absent if one does now, or none will.
-    std::optional<TimePoint> allPausedUntil(TimePoint now, const ServiceId&) const;
+    /// @return when the first of the service's targets ends its pause; absent if a target is not in a pause or there is
+    ///         none.
+    std::optional<TimePoint> earliestPauseEnd(TimePoint now, const ServiceId&) const;
 
-    /// Turns away a request for which no target was found. @param otherwise when to come back if they don't all pause.
+    /// Refuses a request for which no target was found.
+    /// @param otherwise retry time if not all targets are in a pause.
     Refusal refuseUnplaced(TimePoint now, const ServiceId&, Duration otherwise);
 
-    /// @param isPicky without those that were tried or are avoided.
-    std::vector<TargetModel*> usableTargets(TimePoint now, const Demand&, bool isPicky) const;
+    /// @param isFirstPass excludes targets that were tried or are avoided.
+    std::vector<TargetModel*> usableTargets(TimePoint now, const PlacementRequest&, bool isFirstPass) const;
 
+    /// @return whether the target is in this request's random sample or is always considered.
     /// @param homeRank see HomeOrder.
-    bool isConsidered(const TargetModel&, const Demand&, const std::vector<PrefixKey>&,
-        std::optional<unsigned> homeRank, double sampledPart);
-    std::optional<Candidate> choose(TimePoint now, const Demand&, const std::vector<PrefixKey>&);
-    Candidate weigh(TimePoint now, TargetModel&, const Demand&, const std::vector<PrefixKey>&,
+    bool isInSample(const TargetModel&, const PlacementRequest&, const std::vector<PrefixKey>&,
+        std::optional<unsigned> homeRank, double sampleProbability);
+    std::optional<Candidate> choose(TimePoint now, const PlacementRequest&, const std::vector<PrefixKey>&);
+    Candidate score(TimePoint now, TargetModel&, const PlacementRequest&, const std::vector<PrefixKey>&,
         std::optional<unsigned> homeRank) const;
-    /// Notes in the candidate by what the request was let in. @return why it is turned away.
-    std::optional<Refusal> admit(TimePoint now, const Demand&, Candidate&);
-    double waitLimit(double share) const;
+    /// Admits or refuses the request and fills in the candidate's admission.
+    /// @return the refusal; absent if the request is admitted.
+    std::optional<Refusal> admit(TimePoint now, const PlacementRequest&, Candidate&);
+    double waitFactorForShare(double share) const;
 
-    /// Fills in how long the request may wait for others. @param own what it takes by itself.
-    void allowWait(Admission&, const Demand&, Duration own, const SizeBalance&) const;
-    bool isTrusting(TimePoint now) const { return m_trustUntil && now < *m_trustUntil; }
+    /// Sets the allowed queueing delay. @param prefillDuration of the request itself.
+    void setAllowedWait(Admission&, const PlacementRequest&, Duration prefillDuration, const SizeBalance&) const;
+    bool isWarmStart(TimePoint now) const { return m_warmStartUntil && now < *m_warmStartUntil; }
 
-    /// A shared prompt was placed by any router: what its homes keep is known from now on.
-    void heardOf(TimePoint now, std::uint64_t prefix);
+    /// A router has placed a prompt with this prefix: whether its homes have it cached is known from now on.
+    void markPrefixKnown(TimePoint now, std::uint64_t prefix);
 
-    /// @return whether the prompt's homes are taken to keep a part of it, though nobody told so.
-    bool isTrusted(TimePoint now, const std::vector<PrefixKey>&) const;
+    /// @return whether the prompt's home targets are assumed to have a part of it cached, although no router reported
+    /// so.
+    bool isAssumedCached(TimePoint now, const std::vector<PrefixKey>&) const;
     double homeBonusMs(const PromptSize&, const std::vector<PrefixKey>&) const;
-    double zoneCostMs(const Demand&) const;
-    /// @return a refusal if targets end when they run the request.
-    std::optional<Refusal> admitByCrashes(TimePoint now, quarantine::RequestKey);
-
-    /// Looks which targets ended without having said that they leave.
-    void noteLostTargets(TimePoint now, const std::vector<Target>&, const std::set<TargetLife>& present);
-
-    /// @param isListed the target is known and does not leave: it may be found to have ended.
-    void noteEnd(TimePoint now, const Attempt&, bool isListed, AttemptEnd);
-    Refusal refuse(RefusalReason, Duration comeBack, const Admission& = {});
-    Placement commit(TimePoint now, const Demand&, const Candidate&, const std::vector<PrefixKey>&);
-    void notePlaced(TimePoint now, TargetKey, const std::vector<PrefixKey>&);
+    double zoneCostMs(const PlacementRequest&) const;
+    /// @return a refusal if targets crash, or may have crashed, when they run the request.
+    std::optional<Refusal> checkCrashGuard(TimePoint now, quarantine::RequestKey);
+
+    /// Detects targets that ended without draining first.
+    void detectLostTargets(TimePoint now, const std::vector<Target>&, const std::set<TargetIncarnation>& present);
+
+    /// @param isListed the target is known and not draining, so that its end can be detected.
+    void recordEndForCrashGuard(TimePoint now, const Attempt&, bool isListed, AttemptEnd);
+    Refusal refuse(RefusalReason, Duration retryAfter, const Admission& = {});
+    Placement commit(TimePoint now, const PlacementRequest&, const Candidate&, const std::vector<PrefixKey>&);
+    void recordPlacement(TimePoint now, TargetKey, const std::vector<PrefixKey>&);
     double windowCapacity() const;
     RetryWindow& retries(const ServiceId&);
-    TargetModel* find(const TargetLife&) const;
+    TargetModel* find(const TargetIncarnation&) const;
 
-    /// @return the mean speed of the service's targets.
-    TargetSpeed typicalSpeed(const ServiceId&) const;
+    /// @return mean speed of the service's targets.
+    TargetSpeed meanSpeed(const ServiceId&) const;
 
     const DispatchSettings m_settings;
     const ZoneId m_ownZone;
     SeededRandom m_random;
     std::shared_ptr<const RoutingTable> m_table;
-    std::map<TargetLife, std::unique_ptr<TargetModel>> m_targets;
-    std::set<TargetLife> m_listed; ///< In the last list.
+    std::map<TargetIncarnation, std::unique_ptr<TargetModel>> m_targets;
+    std::set<TargetIncarnation> m_listedTargets; ///< As of the last setTargets().
     std::unordered_map<AttemptId, Attempt> m_attempts;
     BackoffTable m_backoffs;
     std::map<ServiceId, RetryWindow> m_retries;
     CustomerShares m_shares;
     quarantine::CrashGuard m_crashes;
 
-    std::map<ServiceId, KindBalance> m_kinds; ///< Over the requests of customers that near their share.
+    std::map<ServiceId, KindBalance> m_kindBalances; ///< Over requests of customers near or above their share.
 
-    /// By route, and whether the customer is above its share: what the others' large requests get must not be measured
-    /// by how long they themselves may wait.
-    std::map<std::pair<std::string, bool>, SizeBalance> m_sizes;
+    /// By route, and whether the customer is above its share. Separate, as customers below their share have a longer
+    /// allowed wait, against which large requests of the others must not be measured.
+    std::map<std::pair<std::string, bool>, SizeBalance> m_sizeBalances;
 
-    std::map<TargetKey, PlacedPrompts> m_placed; ///< Since the last report.
-    std::map<TargetKey, PlacedPrompts> m_placedBefore; ///< In the last one; told again, as it may be lost.
-    std::optional<TimePoint> m_trustUntil; ///< See DispatchSettings::homesTrusted.
-    std::unordered_set<std::uint64_t> m_heardOf; ///< Placed by any router, while homes are trusted.
+    std::map<TargetKey, PlacedPrompts> m_newlyPlaced; ///< Since the last report.
+    std::map<TargetKey, PlacedPrompts> m_previouslyPlaced; ///< In the last report; sent again, as that may be lost.
+    std::optional<TimePoint> m_warmStartUntil; ///< See DispatchSettings::warmStartDuration.
+    std::unordered_set<std::uint64_t> m_knownPrefixes; ///< Placed by any router; only used during a warm start.
     AttemptId m_lastAttempt = 0;
     std::uint64_t m_reportSerial = 0;
-    unsigned m_routers = 1;
-    unsigned m_mostRouters = 1; ///< At once, in this life.
+    unsigned m_routerCount = 1;
+    unsigned m_peakRouterCount = 1; ///< Maximum of m_routerCount since the start.
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/NextStep.cpp
+++ b/src/dispatch/NextStep.cpp
@@ -57,7 +57,7 @@
 
 NextStep nextStep(const AttemptFacts& facts)
 {
-    const bool hasTriesLeft = facts.triesSoFar < mostTries;
+    const bool hasTriesLeft = facts.triesSoFar < maxTries;
     switch (facts.end) {
     case AttemptEnd::Answered:
     case AttemptEnd::CallerGone:
@@ -66,7 +66,7 @@
     case AttemptEnd::WrongTarget:
     case AttemptEnd::Unreachable:
     case AttemptEnd::Withdrawn:
-        // Nothing ran on this target, so that trying another can't make it run twice.
+        // The request did not run on this target, so another attempt cannot make it run twice.
         if (hasTriesLeft)
             return NextStep::TryElsewhere;
         return facts.mayHaveRunBefore ? NextStep::Fail : NextStep::Refuse;
@@ -77,7 +77,7 @@
     }
     const bool mayRunAgain = facts.kind == RequestKind::Idempotent
         || (facts.kind == RequestKind::Stream && facts.isResumable && facts.end != AttemptEnd::Failed);
-    if (mayRunAgain && hasTriesLeft && facts.runsSoFar < facts.attemptsMost)
+    if (mayRunAgain && hasTriesLeft && facts.runsSoFar < facts.maxAttempts)
         return NextStep::TryElsewhere;
     return facts.end == AttemptEnd::Failed && !facts.hasStarted ? NextStep::Relay : NextStep::Fail;
 }
--- a/src/dispatch/PrefixMemory.cpp
+++ b/src/dispatch/PrefixMemory.cpp
@@ -16,7 +16,8 @@
 
 void PrefixMemory::touch(const std::vector<PrefixKey>& prefixes)
 {
-    // Backwards, so that the leading one is the most recent: an engine can't use a part whose predecessor has gone.
+    // Longest first, so that the shortest prefix becomes the most recent: an engine cannot use a part without those
+    // before it.
     for (auto it = prefixes.rbegin(); it != prefixes.rend(); ++it) {
         const auto [found, isNew] = m_entries.try_emplace(it->key);
         if (isNew) {
@@ -24,36 +25,36 @@
             found->second = { it->tokens, m_order.begin() };
             m_tokens += it->tokens;
         } else {
-            m_order.splice(m_order.begin(), m_order, found->second.place);
+            m_order.splice(m_order.begin(), m_order, found->second.position);
         }
     }
-    shrink();
+    evictToCapacity();
 }
 
-void PrefixMemory::takeUnshared(std::uint64_t tokens)
+void PrefixMemory::insertUnshared(std::uint64_t tokens)
 {
-    const std::uint64_t key = stableHash("unshared", ++m_unshared);
+    const std::uint64_t key = stableHash("unshared", ++m_unsharedCount);
     const auto [found, isNew] = m_entries.try_emplace(key);
     if (!isNew)
         return;
     m_order.push_front(key);
     found->second = { tokens, m_order.begin() };
     m_tokens += tokens;
-    shrink();
+    evictToCapacity();
 }
 
-std::uint32_t PrefixMemory::keptTokens(const std::vector<PrefixKey>& prefixes) const
+std::uint32_t PrefixMemory::cachedTokens(const std::vector<PrefixKey>& prefixes) const
 {
-    std::uint32_t kept = 0;
+    std::uint32_t cached = 0;
     for (const PrefixKey& it : prefixes) {
         if (!m_entries.contains(it.key))
             break;
-        kept += it.tokens;
+        cached += it.tokens;
     }
-    return kept;
+    return cached;
 }
 
-void PrefixMemory::shrink()
+void PrefixMemory::evictToCapacity()
 {
     while (m_tokens > m_capacity && !m_order.empty()) {
         const auto oldest = m_entries.find(m_order.back());
--- a/src/dispatch/PrefixMemory.h
+++ b/src/dispatch/PrefixMemory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What one engine is believed to keep of prompts.
+/// Model of an engine's prompt prefix cache.
 
 #include <sagechute/Dispatch.h>
 
@@ -9,36 +9,36 @@
 
 namespace sagechute::dispatch {
 
-/// Least recently used prefixes within the engine's memory. It is told what any router sent; the engine itself reports
-/// late and with gaps, so that this is the better guess.
+/// Estimates the prefixes that an engine has cached, as an LRU cache of the engine's size. Updated with the placements
+/// of all routers; the engine's own reports are late and incomplete and would give a worse estimate.
 class PrefixMemory {
 public:
     void setCapacity(std::uint64_t tokens) { m_capacity = tokens; }
 
-    /// The engine has been sent these prefixes, in order.
+    /// The engine has been sent a prompt with these prefixes, shortest first.
     void touch(const std::vector<PrefixKey>&);
 
-    /// The engine has been sent so many tokens that nobody else will ask for.
-    void takeUnshared(std::uint64_t tokens);
+    /// The engine has been sent this many tokens that no other request will share.
+    void insertUnshared(std::uint64_t tokens);
 
-    /// @return tokens of the leading prefixes that are kept.
-    std::uint32_t keptTokens(const std::vector<PrefixKey>&) const;
+    /// @return tokens of the longest cached prefix.
+    std::uint32_t cachedTokens(const std::vector<PrefixKey>&) const;
 
     std::uint64_t tokens() const { return m_tokens; }
 
 private:
-    void shrink();
+    void evictToCapacity();
 
     struct Entry {
         std::uint64_t tokens = 0;
-        std::list<std::uint64_t>::iterator place;
+        std::list<std::uint64_t>::iterator position;
     };
 
     std::uint64_t m_capacity = 0;
     std::uint64_t m_tokens = 0;
-    std::uint64_t m_unshared = 0; ///< Counts such entries: their keys are no prompt's.
+    std::uint64_t m_unsharedCount = 0; ///< Makes the keys of unshared entries unique; they belong to no prompt.
     std::unordered_map<std::uint64_t, Entry> m_entries;
-    std::list<std::uint64_t> m_order; ///< The most recent first.
+    std::list<std::uint64_t> m_order; ///< Most recently used first.
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/RetryWindow.cpp
+++ b/src/dispatch/RetryWindow.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-    /// Retries arrive later than they are counted here, so that two windows of a target may overlap one of ours.
-    constexpr double safety = 0.8;
+    /// Retries arrive after they are counted here, so that a window as seen by a target may overlap two of ours.
+    constexpr double safetyFactor = 0.8;
 
-    /// In any window. Of 65 routers they are 65 of the 170 that come on top of their requests' part, and they are
-    /// rarely all spent.
-    constexpr double leastRetries = 1;
+    /// Always available, in any window. With 65 routers that is 65 of a retry slack of 170, and they are rarely all
+    /// spent.
+    constexpr double minRetries = 1;
 
 } // namespace
 
@@ -30,20 +30,20 @@
     m_requests.push_back(now);
 }
 
-double RetryWindow::slackPart(TimePoint now, unsigned routers) const
+double RetryWindow::slackShare(TimePoint now, unsigned routers) const
 {
-    const bool isSettled = m_firstRequest && now - *m_firstRequest > m_settings.retryWindow;
-    if (!isSettled || routers <= 1)
+    const bool hasFullWindow = m_firstRequest && now - *m_firstRequest > m_settings.retryWindow;
+    if (!hasFullWindow || routers <= 1)
         return 0;
     return m_settings.retrySlack / std::max(routers, m_settings.leastRouters);
 }
 
-bool RetryWindow::take(TimePoint now, unsigned routers)
+bool RetryWindow::tryAcquire(TimePoint now, unsigned routers)
 {
     expire(now);
-    const double most = std::max(leastRetries,
-        safety * (m_settings.retryRatio * static_cast<double>(m_requests.size()) + slackPart(now, routers)));
-    if (static_cast<double>(m_retries.size()) + 1 > most)
+    const double limit = std::max(minRetries,
+        safetyFactor * (m_settings.retryRatio * static_cast<double>(m_requests.size()) + slackShare(now, routers)));
+    if (static_cast<double>(m_retries.size()) + 1 > limit)
         return false;
     m_retries.push_back(now);
     return true;
--- a/src/dispatch/RetryWindow.h
+++ b/src/dispatch/RetryWindow.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The part of the fleet's retry budget that one router may spend.
+/// One router's part of the fleet-wide retry budget.
 
 #include <sagechute/Dispatch.h>
 
@@ -9,16 +9,16 @@
 
 namespace sagechute::dispatch {
 
-/// Counts requests and retries of one service over a sliding window.
+/// Limits the retries of one service by counting requests and retries over a sliding window.
 ///
-/// Load pattern: a target fails two requests in five while callers repeat at once. Retries would add up to more than
-/// the requests themselves and drown the targets that still work. All routers share one budget and can't ask each other
-/// in time, so each spends the ratio on its own requests and an equal part of the slack.
+/// When a target fails two requests in five and callers retry at once, unlimited retries would outnumber the requests
+/// and overload the targets that still work. All routers share one budget but cannot coordinate in time, so each may
+/// spend the retry ratio of its own requests and an equal part of the slack.
 ///
-/// That part is spent only by a router that has run for a whole window and knows of others. One that has just started
-/// knows neither what its former life spent nor how many it shares with: 65 routers that are killed together would each
-/// take an eighth of the slack, eight times all of it. A single retry is always there, so that a router with few
-/// requests can mend a lost answer.
+/// The slack is available only to a router that has run for a whole window and knows of other routers. A router that
+/// has just started knows neither what its previous process spent nor how many routers share the slack: 65 routers that
+/// are killed together would each take an eighth of it, eight times the total. A single retry is always available, so
+/// that a router with few requests can recover from a lost answer.
 class RetryWindow {
 public:
     explicit RetryWindow(const DispatchSettings& settings)
@@ -28,13 +28,14 @@
 
     void countRequest(TimePoint now);
 
-    /// @param routers most that were known at once, this one included: one that is out of sight may still spend.
-    /// @return whether one more retry fits; it is then counted.
-    bool take(TimePoint now, unsigned routers);
+    /// @param routers maximum number of routers known at any time, including this one; an unreachable one may still
+    ///        spend from the budget.
+    /// @return whether one more retry is within the budget; if so, it is counted.
+    bool tryAcquire(TimePoint now, unsigned routers);
 
 private:
     void expire(TimePoint now);
-    double slackPart(TimePoint now, unsigned routers) const;
+    double slackShare(TimePoint now, unsigned routers) const;
 
     const DispatchSettings m_settings;
     std::optional<TimePoint> m_firstRequest;
--- a/src/dispatch/RoutingTable.cpp
+++ b/src/dispatch/RoutingTable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    /// A configuration counts hosts without a port and in lower case; callers may write either.
-    std::string normalHost(std::string_view host)
+    /// Removes the port and converts to lower case. Hosts match without regard to either.
+    std::string normalizeHost(std::string_view host)
     {
         host = host.substr(0, host.rfind(':'));
         std::string text(host);
@@ -31,9 +31,10 @@
     return "";
 }
 
-std::string toString(const TargetLife& life)
+std::string toString(const TargetIncarnation& incarnation)
 {
-    return life.born ? life.id.value + "@" + std::to_string(life.born) : life.id.value;
+    return incarnation.startedAtMs ? incarnation.id.value + "@" + std::to_string(incarnation.startedAtMs)
+                                   : incarnation.id.value;
 }
 
 std::shared_ptr<const RoutingTable> RoutingTable::make(FleetConfig config)
@@ -45,7 +46,7 @@
     : m_config(std::move(config))
 {
     for (const Route& it : m_config.routes)
-        m_byHost[normalHost(it.host)].push_back(&it);
+        m_byHost[normalizeHost(it.host)].push_back(&it);
     for (auto& [host, routes] : m_byHost) {
         std::stable_sort(routes.begin(), routes.end(),
             [](const Route* a, const Route* b) { return a->pathPrefix.size() > b->pathPrefix.size(); });
@@ -60,7 +61,7 @@
 
 const Route* RoutingTable::findRoute(std::string_view host, std::string_view target) const
 {
-    const auto it = m_byHost.find(normalHost(host));
+    const auto it = m_byHost.find(normalizeHost(host));
     if (it == m_byHost.end())
         return nullptr;
     const std::string_view path = target.substr(0, target.find('?'));
--- a/src/dispatch/SizeBalance.cpp
+++ b/src/dispatch/SizeBalance.cpp
@@ -9,71 +9,74 @@
 
     using Seconds = std::chrono::duration<double>;
 
-    /// A class of sizes is short when it is taken less than this part as often as all. A large request that is helped
-    /// may come late and takes the time of several small ones, so that it isn't helped up to an equal part.
-    constexpr double shortPart = 0.65;
-    constexpr double starvedPart = 0.6;
+    /// A size class is underserved, or starved, if its admission rate is less than this fraction of the route's. Large
+    /// requests are not raised to the full rate, as a boosted one may be late and takes the time of several small ones.
+    constexpr double underservedBelow = 0.65;
+    constexpr double starvedBelow = 0.6;
 
-    /// Counts fall by half in this time: long against the gaps between large requests at one router, short against a
+    /// Half-life of the counts: long compared with the time between large requests at one router, short compared with a
     /// flood.
     constexpr double halfLifeSeconds = 6;
 
-    /// Lower bounds of the classes of sizes but the first, as multiples of the mean.
-    constexpr std::array<double, 4> bounds { 1.0, 1.4, 2.0, 3.0 };
+    /// Lower bounds of all size classes but the first, as multiples of the mean size.
+    constexpr std::array<double, 4> lowerBounds { 1.0, 1.4, 2.0, 3.0 };
 
-    /// With fewer requests than this of a class its part is chance.
-    constexpr double leastAsked = 1;
+    /// With fewer requests of a class its admission rate is noise.
+    constexpr double minRequests = 1;
 
 } // namespace
 
-std::size_t SizeBalance::classOf(double tokens) const
+std::size_t SizeBalance::sizeClassOf(double tokens) const
 {
-    const double typical = meanTokens();
-    if (typical <= 0)
+    const double mean = meanTokens();
+    if (mean <= 0)
         return 0;
-    const double ratio = tokens / typical;
-    return static_cast<std::size_t>(std::upper_bound(bounds.begin(), bounds.end(), ratio) - bounds.begin());
+    const double ratio = tokens / mean;
+    return static_cast<std::size_t>(
+        std::upper_bound(lowerBounds.begin(), lowerBounds.end(), ratio) - lowerBounds.begin());
 }
 
-void SizeBalance::fade(TimePoint now)
+void SizeBalance::decay(TimePoint now)
 {
-    const double passed = m_fadedAt ? Seconds(now - *m_fadedAt).count() : 0;
-    m_fadedAt = now;
-    const double left = std::exp2(-passed / halfLifeSeconds);
+    const double elapsedSeconds = m_decayedAt ? Seconds(now - *m_decayedAt).count() : 0;
+    m_decayedAt = now;
+    const double remaining = std::exp2(-elapsedSeconds / halfLifeSeconds);
     for (Counts* it : { &m_all, &m_classes[0], &m_classes[1], &m_classes[2], &m_classes[3], &m_classes[4] }) {
-        it->asked *= left;
-        it->taken *= left;
+        it->requested *= remaining;
+        it->admitted *= remaining;
     }
-    m_tokens *= left;
-    m_waitSeconds *= left;
+    m_tokens *= remaining;
+    m_waitSeconds *= remaining;
 }
 
-Duration SizeBalance::takenWait() const
+Duration SizeBalance::meanAdmittedWait() const
 {
-    return m_all.taken > 0 ? std::chrono::duration_cast<Duration>(Seconds(m_waitSeconds / m_all.taken)) : Duration {};
+    return m_all.admitted > 0 ? std::chrono::duration_cast<Duration>(Seconds(m_waitSeconds / m_all.admitted))
+                              : Duration {};
 }
 
-void SizeBalance::decided(TimePoint now, double tokens, Duration wait, bool isTaken)
+void SizeBalance::recordDecision(TimePoint now, double tokens, Duration wait, bool isAdmitted)
 {
-    fade(now);
+    decay(now);
     m_tokens += tokens;
-    if (isTaken)
+    if (isAdmitted)
         m_waitSeconds += Seconds(wait).count();
-    Counts& ownClass = m_classes[classOf(tokens)];
-    for (Counts* it : { &m_all, &ownClass }) {
-        it->asked += 1;
-        it->taken += isTaken ? 1 : 0;
+    Counts& sizeClass = m_classes[sizeClassOf(tokens)];
+    for (Counts* it : { &m_all, &sizeClass }) {
+        it->requested += 1;
+        it->admitted += isAdmitted ? 1 : 0;
     }
 }
 
 SizeBalance::Standing SizeBalance::standing(double tokens) const
 {
-    const Counts& ownClass = m_classes[classOf(tokens)];
-    const bool isKnown = ownClass.asked > leastAsked && m_all.taken > 0;
-    const double part = isKnown ? ownClass.taken / ownClass.asked * m_all.asked / m_all.taken : 1;
-    if (part >= shortPart)
-        return Standing::Even;
-    return part >= starvedPart ? Standing::Short : Standing::Starved;
+    const Counts& sizeClass = m_classes[sizeClassOf(tokens)];
+    const bool isKnown = sizeClass.requested > minRequests && m_all.admitted > 0;
+    const double relativeAdmission
+        = isKnown ? sizeClass.admitted / sizeClass.requested * m_all.requested / m_all.admitted : 1;
+    if (relativeAdmission >= underservedBelow)
+        return Standing::Proportional;
+    return relativeAdmission >= starvedBelow ? Standing::Underserved : Standing::Starved;
 }
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/SizeBalance.h
+++ b/src/dispatch/SizeBalance.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How often requests of each size are taken, and which sizes come off badly.
+/// Balances admission between small and large requests.
 
 #include <sagechute/Dispatch.h>
 
@@ -9,50 +9,50 @@
 
 namespace sagechute::dispatch {
 
-/// Keeps large requests of a kind from being turned away far more often than small ones.
+/// Keeps large requests of a route from being refused far more often than small ones.
 ///
-/// Load pattern: more comes than engines can read, for seconds. Whoever may still wait for the longest fills the
-/// queues up to that point. Small requests may, as reading them takes little of their goal; what takes long to read
-/// finds the queues too long for it each time, and is never served until the load falls.
+/// When more requests arrive than the engines can prefill, for seconds, the queues fill up to the longest wait that any
+/// request allows. Small requests allow the longest wait, as their prefill takes little of their goal. Large requests
+/// always find the queues too long and are not served until the load falls.
 ///
-/// Sizes are told apart by tokens, as a multiple of the kind's mean, so that nothing depends on how fast engines are or
-/// on what they keep. Counts fall by half within some seconds.
+/// Size classes are defined by tokens relative to the route's mean, so that they depend neither on the speed of the
+/// engines nor on what these have cached. Counts decay with a half-life of a few seconds.
 class SizeBalance {
 public:
-    /// A request was decided on. @param wait how long it would wait for others.
-    void decided(TimePoint now, double tokens, Duration wait, bool isTaken);
+    /// A request was admitted or refused. @param wait its predicted queueing delay.
+    void recordDecision(TimePoint now, double tokens, Duration wait, bool isAdmitted);
 
-    /// How badly requests of a size come off.
+    /// Admission rate of a size class relative to all requests of the route.
     enum class Standing {
-        Even,
-        Short, ///< They are taken far less often than all of the kind.
-        Starved, ///< About half as often, or less.
+        Proportional,
+        Underserved, ///< Far lower than that of all requests.
+        Starved, ///< About half of it, or less.
     };
 
     Standing standing(double tokens) const;
 
-    /// @return the mean size of the kind.
-    double meanTokens() const { return m_all.asked > 0 ? m_tokens / m_all.asked : 0; }
+    /// @return mean size of the route's requests.
+    double meanTokens() const { return m_all.requested > 0 ? m_tokens / m_all.requested : 0; }
 
-    /// @return how long requests of the kind that were taken have waited for others, on the mean.
-    Duration takenWait() const;
+    /// @return mean predicted queueing delay of the route's admitted requests.
+    Duration meanAdmittedWait() const;
 
 private:
     struct Counts {
-        double asked = 0;
-        double taken = 0;
+        double requested = 0;
+        double admitted = 0;
     };
 
-    static constexpr std::size_t classes = 5;
+    static constexpr std::size_t classCount = 5;
 
-    std::size_t classOf(double tokens) const;
-    void fade(TimePoint now);
+    std::size_t sizeClassOf(double tokens) const;
+    void decay(TimePoint now);
 
-    std::array<Counts, classes> m_classes {};
+    std::array<Counts, classCount> m_classes {};
     Counts m_all;
     double m_tokens = 0; ///< Sum over m_all.asked.
     double m_waitSeconds = 0; ///< Sum over m_all.taken.
-    std::optional<TimePoint> m_fadedAt;
+    std::optional<TimePoint> m_decayedAt;
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/TargetModel.cpp
+++ b/src/dispatch/TargetModel.cpp
@@ -9,26 +9,26 @@
 
     using Milliseconds = std::chrono::duration<double, std::milli>;
 
-    /// Weight of the newest observation. Some ten observations, half a second of one router's requests to one target,
-    /// outweigh what was believed before.
-    constexpr double learnRate = 0.1;
-    constexpr double leastSlowness = 0.6;
-    constexpr double mostSlowness = 4;
-    /// One first event may be late for reasons that are not the target's.
-    constexpr double mostObserved = 3;
-
-    /// What an application's answer takes before any was seen; the deployments' sheets say 30 to 60 ms.
-    constexpr double firstAnswerMs = 50;
-
-    /// Share of an engine's memory that running requests may take. Beyond it the engine pushes out the newest, which
-    /// is then read again from its start; the rest is for prompts that are kept.
-    constexpr double memoryShare = 0.85;
-
-    /// A target that fails several times in a row is left alone for longer, up to eight times the setting.
-    constexpr unsigned mostDoublings = 3;
-
-    /// A first answer is overdue after twice what was predicted and a margin. On a heavy day 95 in 100 predictions are
-    /// within 430 ms of what is seen.
+    /// Weight of the newest observation. About ten observations, half a second of one router's requests to one target,
+    /// outweigh the previous estimate.
+    constexpr double learningRate = 0.1;
+    constexpr double minSlowness = 0.6;
+    constexpr double maxSlowness = 4;
+    /// Limits the effect of a single late event, which may have causes other than the target.
+    constexpr double maxObservedRatio = 3;
+
+    /// Initial estimate of an application's answer time; the deployments' data sheets say 30 to 60 ms.
+    constexpr double initialAnswerMs = 50;
+
+    /// Fraction of an engine's memory that running requests may reserve; the rest is for cached prompts. Beyond it the
+    /// engine preempts the newest request, whose prompt is then prefilled again from the start.
+    constexpr double maxReservedFraction = 0.85;
+
+    /// The time for which a target is avoided doubles with each consecutive failure, up to eight times the setting.
+    constexpr unsigned maxAvoidDoublings = 3;
+
+    /// A first answer is overdue after twice the predicted delay plus a margin. On a heavy day 95 % of the predictions
+    /// are within 430 ms of the observed delay.
     constexpr int overdueFactor = 2;
     constexpr Duration overdueMargin = std::chrono::milliseconds(700);
 
@@ -36,14 +36,14 @@
 
 } // namespace
 
-TargetSpeed TargetSpeed::unknown() { return { 1, firstAnswerMs }; }
+TargetSpeed TargetSpeed::unknown() { return { 1, initialAnswerMs }; }
 
 TargetModel::TargetModel(
-    Target target, const Service* service, const DispatchSettings& settings, const TargetSpeed& expected)
+    Target target, const Service* service, const DispatchSettings& settings, const TargetSpeed& initialSpeed)
     : m_settings(settings)
     , m_target(std::move(target))
-    , m_key(keyOf(m_target.life()))
-    , m_speed(expected)
+    , m_key(keyOf(m_target.incarnation()))
+    , m_speed(initialSpeed)
 {
     setService(service);
 }
@@ -57,37 +57,37 @@
 void TargetModel::setService(const Service* service)
 {
     m_engine = service ? service->engine : std::nullopt;
-    m_memory.setCapacity(m_engine ? m_engine->cacheTokens : 0);
+    m_prefixCache.setCapacity(m_engine ? m_engine->cacheTokens : 0);
 }
 
-TargetUse TargetModel::use(TimePoint now) const
+TargetLoad TargetModel::totalLoad(TimePoint now) const
 {
-    TargetUse sum = m_own;
-    for (const PeerPart& it : m_peers) {
-        if (now - it.at > m_settings.reportKept)
+    TargetLoad sum = m_localLoad;
+    for (const PeerLoad& it : m_peers) {
+        if (now - it.at > m_settings.peerReportTtl)
             continue;
-        sum.tokensToRead += it.use.tokensToRead;
-        sum.active += it.use.active;
-        sum.memoryTokens += it.use.memoryTokens;
+        sum.prefillTokens += it.load.prefillTokens;
+        sum.active += it.load.active;
+        sum.reservedTokens += it.load.reservedTokens;
     }
     return sum;
 }
 
-std::uint32_t TargetModel::tokensToRead(const PromptSize& prompt, const std::vector<PrefixKey>& prefixes) const
+std::uint32_t TargetModel::prefillTokens(const PromptSize& prompt, const std::vector<PrefixKey>& prefixes) const
 {
-    const std::uint32_t kept = m_memory.keptTokens(prefixes);
-    return prompt.tokensIn > kept ? prompt.tokensIn - kept : 0;
+    const std::uint32_t cached = m_prefixCache.cachedTokens(prefixes);
+    return prompt.inputTokens > cached ? prompt.inputTokens - cached : 0;
 }
 
-Duration TargetModel::readTime(std::uint32_t tokens) const
+Duration TargetModel::prefillTime(std::uint32_t tokens) const
 {
-    return m_engine ? fromMs(tokens / m_settings.readTokensPerMs * m_speed.slowness) : Duration::zero();
+    return m_engine ? fromMs(tokens / m_settings.prefillTokensPerMs * m_speed.slowness) : Duration::zero();
 }
 
-Duration TargetModel::predictFirst(const TargetUse& inFlight, std::uint32_t tokensToRead) const
+Duration TargetModel::predictFirstEventDelay(const TargetLoad& inFlight, std::uint32_t prefillTokens) const
 {
     if (m_engine) {
-        return m_settings.firstEventBase + readTime(inFlight.tokensToRead + tokensToRead);
+        return m_settings.firstEventOverhead + prefillTime(inFlight.prefillTokens + prefillTokens);
     }
     const double slots = std::max(1U, m_target.slots);
     const double queued = std::max(0.0, inFlight.active + 1 - slots);
@@ -96,94 +96,96 @@
 
 bool TargetModel::isOverdue(TimePoint now) const
 {
-    // Due times need not rise with placements; there are few, and nearly always none.
-    return std::any_of(m_firstDue.begin(), m_firstDue.end(), [&](const auto& it) { return it.second < now; });
+    // Deadlines are not sorted by placement time. There are few entries, and almost always none.
+    return std::any_of(
+        m_firstEventDeadlines.begin(), m_firstEventDeadlines.end(), [&](const auto& it) { return it.second < now; });
 }
 
-bool TargetModel::hasRoom(const TargetUse& inFlight, std::uint32_t memoryTokens) const
+bool TargetModel::hasRoom(const TargetLoad& inFlight, std::uint32_t reservedTokens) const
 {
     if (!m_engine)
         return true;
     if (m_engine->slots && inFlight.active >= m_engine->slots)
         return false;
-    const double most = memoryShare * static_cast<double>(m_engine->cacheTokens);
-    return inFlight.active == 0 || static_cast<double>(inFlight.memoryTokens) + memoryTokens <= most;
+    const double limit = maxReservedFraction * static_cast<double>(m_engine->cacheTokens);
+    return inFlight.active == 0 || static_cast<double>(inFlight.reservedTokens) + reservedTokens <= limit;
 }
 
-void TargetModel::placed(TimePoint now, std::uint32_t tokensToRead, std::uint32_t memoryTokens,
-    const std::vector<PrefixKey>& prefixes, Duration predictedFirst)
+void TargetModel::placed(TimePoint now, std::uint32_t prefillTokens, std::uint32_t reservedTokens,
+    const std::vector<PrefixKey>& prefixes, Duration predictedFirstEventDelay)
 {
-    m_firstDue.emplace(now, now + overdueFactor * predictedFirst + overdueMargin);
-    m_own.tokensToRead += tokensToRead;
-    m_own.active += 1;
-    m_own.memoryTokens += memoryTokens;
-    m_memory.touch(prefixes);
-    // After a failure a single request tries it again; the others wait for what comes of that.
-    if (m_failuresInRow)
+    m_firstEventDeadlines.emplace(now, now + overdueFactor * predictedFirstEventDelay + overdueMargin);
+    m_localLoad.prefillTokens += prefillTokens;
+    m_localLoad.active += 1;
+    m_localLoad.reservedTokens += reservedTokens;
+    m_prefixCache.touch(prefixes);
+    // After a failure a single request probes the target; others avoid it until the probe has ended.
+    if (m_consecutiveFailures)
         m_avoidUntil = now + m_settings.avoidAfterFailure;
 }
 
-void TargetModel::firstAnswer(TimePoint placedAt, std::uint32_t tokensToRead, Duration predicted, Duration seen)
+void TargetModel::firstAnswer(TimePoint placedAt, std::uint32_t prefillTokens, Duration predicted, Duration observed)
 {
-    m_own.tokensToRead -= std::min(m_own.tokensToRead, tokensToRead);
+    m_localLoad.prefillTokens -= std::min(m_localLoad.prefillTokens, prefillTokens);
     if (predicted <= Duration::zero()) {
-        // It ended without an answer: only this one is waited for no longer.
-        const auto it = m_firstDue.find(placedAt);
-        if (it != m_firstDue.end())
-            m_firstDue.erase(it);
+        // The request ended without an answer, so only its own deadline is removed.
+        const auto it = m_firstEventDeadlines.find(placedAt);
+        if (it != m_firstEventDeadlines.end())
+            m_firstEventDeadlines.erase(it);
         return;
     }
-    m_firstDue.erase(m_firstDue.begin(), m_firstDue.upper_bound(placedAt));
+    m_firstEventDeadlines.erase(m_firstEventDeadlines.begin(), m_firstEventDeadlines.upper_bound(placedAt));
     if (!m_engine)
         return;
-    const double ratio = std::min(mostObserved, Milliseconds(seen) / Milliseconds(predicted));
-    m_speed.slowness = std::clamp(m_speed.slowness * (1 + learnRate * (ratio - 1)), leastSlowness, mostSlowness);
+    const double ratio = std::min(maxObservedRatio, Milliseconds(observed) / Milliseconds(predicted));
+    m_speed.slowness = std::clamp(m_speed.slowness * (1 + learningRate * (ratio - 1)), minSlowness, maxSlowness);
 }
 
-void TargetModel::released(std::uint32_t memoryTokens)
+void TargetModel::released(std::uint32_t reservedTokens)
 {
-    m_own.active -= std::min(m_own.active, 1U);
-    m_own.memoryTokens -= std::min(m_own.memoryTokens, memoryTokens);
+    m_localLoad.active -= std::min(m_localLoad.active, 1U);
+    m_localLoad.reservedTokens -= std::min(m_localLoad.reservedTokens, reservedTokens);
 }
 
-void TargetModel::judged(TimePoint now, AttemptEnd end, Duration lasted)
+void TargetModel::recordOutcome(TimePoint now, AttemptEnd end, Duration elapsed)
 {
     if (end == AttemptEnd::CallerGone || end == AttemptEnd::WrongTarget || end == AttemptEnd::Withdrawn)
         return;
     const bool isAnswer = end == AttemptEnd::Answered;
-    m_failureShare += learnRate * ((isAnswer ? 0 : 1) - m_failureShare);
-    const bool isReached = isAnswer || end == AttemptEnd::Failed || end == AttemptEnd::NotRun;
-    if (isReached) {
-        m_failuresInRow = 0;
+    m_failureRate += learningRate * ((isAnswer ? 0 : 1) - m_failureRate);
+    const bool hasResponded = isAnswer || end == AttemptEnd::Failed || end == AttemptEnd::NotRun;
+    if (hasResponded) {
+        m_consecutiveFailures = 0;
         m_avoidUntil = {};
     } else {
-        // A single broken answer is the request's misfortune; a target that can't be reached, or breaks two in a row,
-        // is left alone.
-        m_failuresInRow += 1;
-        const bool isDown = end != AttemptEnd::Broken || m_failuresInRow > 1;
+        // A single broken answer may be due to the request. A target that is unreachable or breaks two answers in a row
+        // is avoided.
+        m_consecutiveFailures += 1;
+        const bool isDown = end != AttemptEnd::Broken || m_consecutiveFailures > 1;
         if (isDown)
-            m_avoidUntil = now + m_settings.avoidAfterFailure * (1 << std::min(m_failuresInRow - 1, mostDoublings));
+            m_avoidUntil
+                = now + m_settings.avoidAfterFailure * (1 << std::min(m_consecutiveFailures - 1, maxAvoidDoublings));
     }
     if (isAnswer && !m_engine)
-        m_speed.answerMs += learnRate * (Milliseconds(lasted).count() - m_speed.answerMs);
+        m_speed.answerMs += learningRate * (Milliseconds(elapsed).count() - m_speed.answerMs);
 }
 
-void TargetModel::peerPlaced(const PlacedPrompts& placed)
+void TargetModel::recordPeerPlacements(const PlacedPrompts& placed)
 {
-    if (placed.ownTokens)
-        m_memory.takeUnshared(placed.ownTokens);
+    if (placed.unsharedTokens)
+        m_prefixCache.insertUnshared(placed.unsharedTokens);
     for (const auto& [key, tokens] : placed.shared)
-        m_memory.touch({ { key, tokens } });
+        m_prefixCache.touch({ { key, tokens } });
 }
 
-void TargetModel::peerUse(TimePoint now, const VmId& peer, const TargetUse& use)
+void TargetModel::setPeerLoad(TimePoint now, const VmId& peer, const TargetLoad& load)
 {
     const auto it
-        = std::find_if(m_peers.begin(), m_peers.end(), [&](const PeerPart& part) { return part.peer == peer; });
+        = std::find_if(m_peers.begin(), m_peers.end(), [&](const PeerLoad& part) { return part.peer == peer; });
     if (it == m_peers.end())
-        m_peers.push_back({ peer, use, now });
+        m_peers.push_back({ peer, load, now });
     else
-        *it = { peer, use, now };
+        *it = { peer, load, now };
 }
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/TargetModel.h
+++ b/src/dispatch/TargetModel.h
@@ -1,79 +1,80 @@
 #pragma once
 
 /// @file
-/// What is believed of one target: what has been sent to it, how fast it is, what it keeps, whether it can be reached.
+/// Model of one target: its load, speed, prefix cache and reachability.
 
 #include "dispatch/PrefixMemory.h"
 
 namespace sagechute::dispatch {
 
-/// How long a target takes for what it is given.
+/// Estimated speed of a target.
 struct TargetSpeed {
-    double slowness; ///< An engine's seen against predicted time to the first event.
-    double answerMs; ///< An application's mean time to answer.
+    double slowness; ///< For an engine: ratio of observed to predicted time to the first event.
+    double answerMs; ///< For an application: mean answer time.
 
-    /// Before anything was seen of any target.
+    /// Estimate before the first observation of any target.
     static TargetSpeed unknown();
 };
 
-/// The model of one target. What this router sent itself is exact; what others sent is as old as their last report.
+/// Model of one target. The load from this router is exact; the load from others is as old as their last report.
 class TargetModel {
 public:
-    /// @param expected the speed until it has been seen, such as the mean of the service's other targets. With less a
-    ///        new target would take too much, with more it would get nothing while the others are idle.
-    TargetModel(Target, const Service*, const DispatchSettings&, const TargetSpeed& expected);
+    /// @param initialSpeed estimate until the first observation, such as the mean of the service's other targets. If a
+    ///        new target is estimated too fast it gets too many requests; too slow, it gets none while others are idle.
+    TargetModel(Target, const Service*, const DispatchSettings&, const TargetSpeed& initialSpeed);
 
     const Target& target() const { return m_target; }
     TargetKey key() const { return m_key; }
     const TargetSpeed& speed() const { return m_speed; }
     void update(Target target, const Service*);
 
-    /// @return what is in flight there, of all routers.
-    TargetUse use(TimePoint now) const;
+    /// @return load in flight from all routers.
+    TargetLoad totalLoad(TimePoint now) const;
 
-    /// @return tokens of the prompt that it would have to read.
-    std::uint32_t tokensToRead(const PromptSize&, const std::vector<PrefixKey>&) const;
+    /// @return tokens of the prompt that are not cached at the target.
+    std::uint32_t prefillTokens(const PromptSize&, const std::vector<PrefixKey>&) const;
 
-    /// @return how long it reads that many tokens.
-    Duration readTime(std::uint32_t tokens) const;
+    /// @return time to prefill the tokens.
+    Duration prefillTime(std::uint32_t tokens) const;
 
-    /// @param inFlight see use(); summed up once for all that is asked about one request.
-    /// @return when the first event, or the whole answer of an application, can be expected.
-    Duration predictFirst(const TargetUse& inFlight, std::uint32_t tokensToRead) const;
+    /// @param inFlight see totalLoad(); computed once per request and target.
+    /// @return predicted delay of the first event or, for an application, of the whole answer.
+    Duration predictFirstEventDelay(const TargetLoad& inFlight, std::uint32_t prefillTokens) const;
 
-    /// @return whether one more request of that size fits beside those in flight without one being pushed out.
-    bool hasRoom(const TargetUse& inFlight, std::uint32_t memoryTokens) const;
+    /// @return whether a request of this size fits beside those in flight without preempting one.
+    bool hasRoom(const TargetLoad& inFlight, std::uint32_t reservedTokens) const;
 
-    /// @return whether it should get no request now, because it could not be reached lately.
+    /// @return whether it should get no request now because it was recently unreachable or is overdue.
     bool isAvoided(TimePoint now) const { return now < m_avoidUntil || isOverdue(now); }
 
     /// @return whether it has been silent for far longer than predicted.
     ///
-    /// A target whose VM vanished takes requests without an error, until the kernel gives its connections up seconds
-    /// later; all that is sent meanwhile is late. One that answered anything sent after the overdue request is alive.
+    /// If a target's VM vanishes, requests are sent to it without an error until the kernel closes the connections
+    /// seconds later, and all of them are late. An answer to any request sent after the overdue one proves that the
+    /// target is alive.
     bool isOverdue(TimePoint now) const;
 
-    /// @return share of its answers that were failures lately, 0 to 1.
-    double failureShare() const { return m_failureShare; }
+    /// @return moving average of the fraction of attempts that failed, 0 to 1.
+    double failureRate() const { return m_failureRate; }
 
-    void placed(TimePoint now, std::uint32_t tokensToRead, std::uint32_t memoryTokens, const std::vector<PrefixKey>&,
-        Duration predictedFirst);
-    void firstAnswer(TimePoint placedAt, std::uint32_t tokensToRead, Duration predicted, Duration seen);
+    void placed(TimePoint now, std::uint32_t prefillTokens, std::uint32_t reservedTokens, const std::vector<PrefixKey>&,
+        Duration predictedFirstEventDelay);
+    void firstAnswer(TimePoint placedAt, std::uint32_t prefillTokens, Duration predicted, Duration observed);
 
-    /// A request is not there any more.
-    void released(std::uint32_t memoryTokens);
+    /// A request has ended and released its memory.
+    void released(std::uint32_t reservedTokens);
 
-    /// Learns from how a request ended. @param lasted since it was placed.
-    void judged(TimePoint now, AttemptEnd, Duration lasted);
+    /// Updates failure rate, avoidance and speed after a request. @param elapsed time since its placement.
+    void recordOutcome(TimePoint now, AttemptEnd, Duration elapsed);
 
-    void peerUse(TimePoint now, const VmId& peer, const TargetUse&);
-    void peerPlaced(const PlacedPrompts&);
-    const TargetUse& ownUse() const { return m_own; }
+    void setPeerLoad(TimePoint now, const VmId& peer, const TargetLoad&);
+    void recordPeerPlacements(const PlacedPrompts&);
+    const TargetLoad& localLoad() const { return m_localLoad; }
 
 private:
-    struct PeerPart {
+    struct PeerLoad {
         VmId peer;
-        TargetUse use;
+        TargetLoad load;
         TimePoint at;
     };
 
@@ -83,14 +84,14 @@
     Target m_target;
     const TargetKey m_key;
     std::optional<EngineProfile> m_engine;
-    TargetUse m_own;
-    std::vector<PeerPart> m_peers;
-    PrefixMemory m_memory;
+    TargetLoad m_localLoad;
+    std::vector<PeerLoad> m_peers;
+    PrefixMemory m_prefixCache;
     TargetSpeed m_speed;
-    double m_failureShare = 0;
-    unsigned m_failuresInRow = 0;
+    double m_failureRate = 0;
+    unsigned m_consecutiveFailures = 0;
     TimePoint m_avoidUntil {};
-    std::multimap<TimePoint, TimePoint> m_firstDue; ///< By placement: when a first answer is overdue.
+    std::multimap<TimePoint, TimePoint> m_firstEventDeadlines; ///< By placement time: when the first answer is overdue.
 };
 
 } // namespace sagechute::dispatch
--- a/src/dispatch/UnpackBounded.h
+++ b/src/dispatch/UnpackBounded.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reading records that come from other processes.
+/// Decoding of msgpack records from other processes.
 
 #include <msgpack.hpp>
 
@@ -9,17 +9,18 @@
 
 namespace sagechute::dispatch {
 
-/// Unpacks one object of bytes that anyone may have sent.
+/// Unpacks one object from untrusted bytes.
 ///
-/// Five bytes can announce a map of a thousand million entries, for which the library then asks for memory; the process
-/// would end by std::bad_alloc in the thread that receives datagrams. No list has more entries than there are bytes.
-/// @param end where the object began; afterwards where it ended.
-/// @throws msgpack::unpack_error for bytes that are no object.
+/// Five bytes can declare a map of 10^9 entries, for which the library would try to allocate memory, and std::bad_alloc
+/// would terminate the process in the thread that receives datagrams. No container can have more entries than there are
+/// bytes, so the number of bytes is the limit for all containers.
+/// @param end offset of the object; set to the offset after it.
+/// @throws msgpack::unpack_error if the bytes are not a valid object.
 inline msgpack::object_handle unpackBounded(std::string_view bytes, std::size_t& end)
 {
-    constexpr std::size_t mostDepth = 8; ///< The records have five levels at most.
-    const std::size_t most = bytes.size();
-    const msgpack::unpack_limit limit(most, most, most, most, most, mostDepth);
+    constexpr std::size_t maxDepth = 8; ///< Valid records have at most five levels.
+    const std::size_t maxElements = bytes.size();
+    const msgpack::unpack_limit limit(maxElements, maxElements, maxElements, maxElements, maxElements, maxDepth);
     return msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limit);
 }
 
--- a/src/edge/ReportPlan.cpp
+++ b/src/edge/ReportPlan.cpp
@@ -70,7 +70,7 @@
     for (const auto& [target, placed] : part.report.placed) {
         dispatch::PlacedPrompts& told = report.placed[target];
         told.shared.insert(placed.shared.begin(), placed.shared.end());
-        told.ownTokens += placed.ownTokens;
+        told.unsharedTokens += placed.unsharedTokens;
     }
     part = { std::move(report), now };
 }
--- a/src/news/TargetRoster.cpp
+++ b/src/news/TargetRoster.cpp
@@ -66,10 +66,10 @@
 {
     LifeMemory& newest = m_lives[target.id];
     newest.at = now;
-    if (target.born < newest.born)
+    if (target.startedAtMs < newest.startedAtMs)
         return false;
-    if (target.born > newest.born) {
-        newest.born = target.born;
+    if (target.startedAtMs > newest.startedAtMs) {
+        newest.startedAtMs = target.startedAtMs;
         newest.isLeaving = false;
     }
     newest.isLeaving = newest.isLeaving || target.draining;
@@ -107,22 +107,22 @@
     }
     // An old record may still say that the present life leaves.
     const auto known = m_entries.find(told.id);
-    const bool isSameLife = known != m_entries.end() && known->second.target.born == told.target->born;
+    const bool isSameLife = known != m_entries.end() && known->second.target.startedAtMs == told.target->startedAtMs;
     if (isSameLife && told.target->draining && !known->second.target.draining) {
         known->second.target.draining = true;
         ++m_revision;
     }
 }
 
-bool TargetRoster::saidDraining(TimePoint now, const dispatch::TargetLife& life)
+bool TargetRoster::saidDraining(TimePoint now, const dispatch::TargetIncarnation& life)
 {
     const auto known = m_lives.find(life.id);
-    if (known == m_lives.end() || known->second.born != life.born || known->second.isLeaving)
+    if (known == m_lives.end() || known->second.startedAtMs != life.startedAtMs || known->second.isLeaving)
         return false;
     known->second.isLeaving = true;
     known->second.at = now;
     const auto it = m_entries.find(life.id);
-    if (it != m_entries.end() && it->second.target.born == life.born) {
+    if (it != m_entries.end() && it->second.target.startedAtMs == life.startedAtMs) {
         it->second.target.draining = true;
         ++m_revision;
     }
--- a/src/relay/RequestFlow.cpp
+++ b/src/relay/RequestFlow.cpp
@@ -117,16 +117,16 @@
 {
 }
 
-void RequestFlow::begin(TimePoint now) { place(now, Round::First); }
+void RequestFlow::begin(TimePoint now) { place(now, AttemptKind::First); }
 
-void RequestFlow::place(TimePoint now, Round round)
+void RequestFlow::place(TimePoint now, AttemptKind round)
 {
     if (m_facts.due - now < leastLeft) {
         fail(m_mayHaveRun ? gatewayTimeout : unavailable, "no time is left");
         return;
     }
-    const dispatch::Demand demand { m_facts.customer, m_facts.service, m_facts.route, m_facts.prompt, m_facts.bytes,
-        m_facts.arrived, m_facts.due, { m_sentTo.begin(), m_sentTo.end() }, m_facts.key };
+    const dispatch::PlacementRequest demand { m_facts.customer, m_facts.service, m_facts.route, m_facts.prompt,
+        m_facts.bytes, m_facts.arrived, m_facts.due, { m_sentTo.begin(), m_sentTo.end() }, m_facts.key };
     const dispatch::Decision decision = m_port.place(now, demand, round);
     if (const auto* placement = std::get_if<dispatch::Placement>(&decision)) {
         m_record.isRefused = false;
@@ -153,7 +153,7 @@
     m_body.clear();
     m_unsound = {};
     m_splitter.emplace(m_lastEventId);
-    m_sentTo.push_back(placement.target.life());
+    m_sentTo.push_back(placement.target.incarnation());
     m_number = static_cast<unsigned>(m_sentTo.size());
     m_inFlight = true;
     m_silenceCheck = now + patience(now);
@@ -166,7 +166,7 @@
     if (m_facts.route->kind == RequestKind::Idempotent)
         return std::chrono::duration_cast<Duration>(silenceShare * left);
     if (m_facts.route->kind == RequestKind::Stream && m_facts.route->isResumable)
-        return firstEventFactor * m_record.placement.predictedFirst + streamSilence;
+        return firstEventFactor * m_record.placement.predictedFirstEventDelay + streamSilence;
     return left;
 }
 
@@ -244,7 +244,7 @@
         return;
     m_hasStarted = true;
     m_record.firstEventAfter = now - m_facts.arrived;
-    m_record.firstEventError = now - m_sentAt - m_record.placement.predictedFirst;
+    m_record.firstEventError = now - m_sentAt - m_record.placement.predictedFirstEventDelay;
     m_port.startStream(m_head->status, m_head->relayed);
 }
 
@@ -285,8 +285,8 @@
 {
     m_inFlight = false;
     m_port.attemptEnded(now, m_record.placement.attempt, end, answerEnd);
-    m_record.trace
-        += " " + toString(m_record.placement.target.life()) + ":" + std::string(toString(end)) + toString(answerEnd);
+    m_record.trace += " " + toString(m_record.placement.target.incarnation()) + ":" + std::string(toString(end))
+        + toString(answerEnd);
     if (m_head)
         m_record.trace += toString(m_head->signals);
     if (!certainlyHasNotRun(end)) {
@@ -319,7 +319,7 @@
         }
         return;
     case NextStep::TryElsewhere:
-        place(now, hasNotArrived(end) ? Round::AfterNothing : Round::AfterArrival);
+        place(now, hasNotArrived(end) ? AttemptKind::RetryUnsent : AttemptKind::RetryAfterSend);
         return;
     case NextStep::Refuse:
         m_record.isRefused = true;
@@ -354,7 +354,7 @@
 void RequestFlow::refuse(const dispatch::Refusal& refusal)
 {
     const int status = refusal.reason == dispatch::RefusalReason::OverShare ? tooManyRequests : unavailable;
-    m_port.refuse(status, toString(refusal.reason), refusal.comeBack);
+    m_port.refuse(status, toString(refusal.reason), refusal.retryAfter);
     conclude(status, "refused-or-failed");
 }
 
