--- a/tests/CrashPlacementTest.cpp
+++ b/tests/CrashPlacementTest.cpp
@@ -1,4 +1,5 @@
-// What the dispatcher makes of targets that end under a request: src/dispatch, src/quarantine.
+// Tests how the dispatcher detects targets that crash under a request, and refuses such requests (src/dispatch,
+// src/quarantine).
 
 #include <sagechute/Dispatch.h>
 
@@ -13,9 +14,9 @@
 constexpr quarantine::RequestKey crashing = 7;
 constexpr quarantine::RequestKey innocent = 8;
 
-/// A router before applications that a test ends.
-struct World {
-    World()
+/// One router with application targets that a test can crash.
+struct TestRouter {
+    TestRouter()
     {
         FleetConfig config;
         config.services = { { { "app" }, 100, std::nullopt }, { { "other" }, 100, std::nullopt } };
@@ -26,27 +27,28 @@
         table = RoutingTable::make(config);
         dispatcher->setConfig(table);
         for (unsigned i = 0; i < 5; ++i)
-            list.push_back(target(i, "app", 1));
+            targets.push_back(target(i, "app", 1));
         publish();
     }
 
-    static Target target(unsigned i, const std::string& service, std::int64_t born)
+    static Target target(unsigned i, const std::string& service, std::int64_t startedAtMs)
     {
         return { { "t" + std::to_string(i) }, { service }, "10.0.0." + std::to_string(i) + ":1", { "a" }, 6, false,
-            born };
+            startedAtMs };
     }
 
-    void publish() { dispatcher->setTargets(now, list); }
+    void publish() { dispatcher->setTargets(now, targets); }
 
     Decision place(quarantine::RequestKey key)
     {
         now += 2s;
-        return dispatcher->place(
-            now, { { "c" }, { "app" }, &table->config().routes.front(), {}, 0, now, now + 6s, {}, key }, Round::First);
+        return dispatcher->place(now,
+            { { "c" }, { "app" }, &table->config().routes.front(), {}, 0, now, now + 6s, {}, key }, AttemptKind::First);
     }
 
-    /// Sends a request, and breaks its attempt off.
-    Target breakOff(quarantine::RequestKey key)
+    /// Places a request and reports its attempt as broken.
+    /// @return the target.
+    Target breakAttempt(quarantine::RequestKey key)
     {
         const Placement placement = std::get<Placement>(place(key));
         now += 10ms;
@@ -61,88 +63,88 @@
             dispatcher->crashes().checked(now, it, result);
     }
 
-    /// The same target, by its place in the list.
+    /// @return the entry of the target in the list.
     Target& listed(const Target& target)
     {
-        return *std::find_if(list.begin(), list.end(), [&](const Target& it) { return it.id == target.id; });
+        return *std::find_if(targets.begin(), targets.end(), [&](const Target& it) { return it.id == target.id; });
     }
 
-    std::size_t ends() { return dispatcher->crashes().cases().size(); }
+    std::size_t crashCount() { return dispatcher->crashes().cases().size(); }
 
     TimePoint now { 100s };
     std::shared_ptr<const RoutingTable> table;
     std::unique_ptr<Dispatcher> dispatcher = Dispatcher::make({}, { "a" }, 7);
-    std::vector<Target> list;
+    std::vector<Target> targets;
 };
 
 } // namespace
 
-TEST_CASE("a request under which three targets ended is refused, and others are not")
+TEST_CASE("a request under which three targets crashed is refused, and others are not")
 {
-    World world;
+    TestRouter router;
     for (int i = 0; i < 3; ++i) {
-        const Target ended = world.breakOff(crashing);
-        world.answerChecks(quarantine::CheckResult::Refused);
-        world.listed(ended).born += 1;
-        world.publish();
+        const Target ended = router.breakAttempt(crashing);
+        router.answerChecks(quarantine::CheckResult::Refused);
+        router.listed(ended).startedAtMs += 1;
+        router.publish();
     }
-    const Decision decision = world.place(crashing);
+    const Decision decision = router.place(crashing);
     REQUIRE(std::holds_alternative<Refusal>(decision));
     CHECK(std::get<Refusal>(decision).reason == RefusalReason::Quarantined);
-    CHECK(std::get<Refusal>(decision).comeBack > 1min);
-    CHECK(std::holds_alternative<Placement>(world.place(innocent)));
+    CHECK(std::get<Refusal>(decision).retryAfter > 1min);
+    CHECK(std::holds_alternative<Placement>(router.place(innocent)));
 }
 
-TEST_CASE("a router is told with a load report what targets ended under")
+TEST_CASE("load reports tell other routers which requests crash targets")
 {
-    World world;
-    World other;
+    TestRouter router;
+    TestRouter other;
     for (int i = 0; i < 3; ++i) {
-        world.breakOff(crashing);
-        world.answerChecks(quarantine::CheckResult::Refused);
+        router.breakAttempt(crashing);
+        router.answerChecks(quarantine::CheckResult::Refused);
     }
-    const absl::StatusOr<LoadReport> report = decodeLoadReport(encode(world.dispatcher->report(world.now)));
+    const absl::StatusOr<LoadReport> report = decodeLoadReport(encode(router.dispatcher->report(router.now)));
     REQUIRE(report.ok());
     other.dispatcher->peerReported(other.now, { "peer" }, *report);
     CHECK(std::holds_alternative<Refusal>(other.place(crashing)));
 }
 
-TEST_CASE("a target whose entry goes while it was not leaving has ended, one that was draining has not")
+TEST_CASE("a target whose entry disappears has crashed unless it was draining")
 {
-    World world;
+    TestRouter router;
     const bool isDraining = GENERATE(false, true);
-    const Placement placement = std::get<Placement>(world.place(crashing));
-    world.listed(placement.target).draining = isDraining;
-    world.publish();
-    world.dispatcher->ended(world.now, placement.attempt, AttemptEnd::Broken);
-    std::erase_if(world.list, [&](const Target& it) { return it.id == placement.target.id; });
-    world.publish();
-    CHECK(world.ends() == (isDraining ? 0 : 1));
+    const Placement placement = std::get<Placement>(router.place(crashing));
+    router.listed(placement.target).draining = isDraining;
+    router.publish();
+    router.dispatcher->ended(router.now, placement.attempt, AttemptEnd::Broken);
+    std::erase_if(router.targets, [&](const Target& it) { return it.id == placement.target.id; });
+    router.publish();
+    CHECK(router.crashCount() == (isDraining ? 0 : 1));
 }
 
-TEST_CASE("another life at a target's address shows its end, one of another service does not")
+TEST_CASE("a new incarnation at a target's address proves its crash, a target of another service there does not")
 {
-    World world;
+    TestRouter router;
     const std::string service = GENERATE("app", "other");
-    const Target ended = world.breakOff(crashing);
-    world.answerChecks(quarantine::CheckResult::Accepted);
-    Target next = World::target(9, service, 2);
+    const Target ended = router.breakAttempt(crashing);
+    router.answerChecks(quarantine::CheckResult::Accepted);
+    Target next = TestRouter::target(9, service, 2);
     next.address = ended.address;
-    world.list.push_back(next);
-    world.publish();
-    CHECK(world.ends() == (service == "app" ? 1 : 0));
+    router.targets.push_back(next);
+    router.publish();
+    CHECK(router.crashCount() == (service == "app" ? 1 : 0));
 }
 
-TEST_CASE("a list that says the same again ends no target")
+TEST_CASE("an unchanged target list does not count as a crash")
 {
-    World world;
-    world.breakOff(innocent);
-    world.publish();
-    world.publish();
-    CHECK(world.ends() == 0);
+    TestRouter router;
+    router.breakAttempt(innocent);
+    router.publish();
+    router.publish();
+    CHECK(router.crashCount() == 0);
 }
 
-TEST_CASE("a load report of a release that knows no crashes is read")
+TEST_CASE("a load report from a release without crash detection is decoded")
 {
     LoadReport report;
     report.serial = 5;
--- a/tests/DispatchTest.cpp
+++ b/tests/DispatchTest.cpp
@@ -1,4 +1,4 @@
-// Placing, turning away and following up on requests: src/dispatch.
+// Tests placement, admission, load reports, retry budget and next steps (src/dispatch).
 
 #include "dispatch/CustomerShares.h"
 #include "dispatch/LocalDispatcher.h"
@@ -19,15 +19,15 @@
 
 constexpr TimePoint start { 100s };
 
-PromptSize prompt(std::uint64_t sharedId, std::uint32_t sharedTokens, std::uint32_t ownTokens)
+PromptSize prompt(std::uint64_t sharedId, std::uint32_t sharedTokens, std::uint32_t unsharedTokens)
 {
     static std::uint64_t ownId = 1'000'000;
-    return { sharedTokens + ownTokens, 100, { { sharedId, sharedTokens }, { ++ownId, ownTokens } } };
+    return { sharedTokens + unsharedTokens, 100, { { sharedId, sharedTokens }, { ++ownId, unsharedTokens } } };
 }
 
-/// Engines and applications of one small deployment.
-struct World {
-    explicit World(unsigned engines = 4, const std::string& zone = "a")
+/// A small deployment: one router with several engines.
+struct TestDeployment {
+    explicit TestDeployment(unsigned engines = 4, const std::string& zone = "a")
     {
         FleetConfig config;
         config.version = 1;
@@ -48,7 +48,7 @@
         dispatcher->setTargets(start, targets);
     }
 
-    Demand demand(const std::string& customer, PromptSize size) const
+    PlacementRequest demand(const std::string& customer, PromptSize size) const
     {
         return { { customer }, { "llm" }, &table->config().routes.front(), std::move(size), 0, start, start + 6s, {} };
     }
@@ -92,68 +92,71 @@
     CHECK(RoutingTable::chooseService(Route {}, 0.5) == nullptr);
 }
 
-TEST_CASE("a prompt goes where its shared part is kept")
+TEST_CASE("a prompt is placed where its shared part is cached")
 {
-    World world;
-    const Decision first = world.dispatcher->place(start, world.demand("c", prompt(1, 13000, 500)), Round::First);
+    TestDeployment deployment;
+    const Decision first
+        = deployment.dispatcher->place(start, deployment.demand("c", prompt(1, 13000, 500)), AttemptKind::First);
     REQUIRE(placed(first));
-    CHECK(placed(first)->tokensToRead == 13500);
-    world.dispatcher->firstAnswer(start + 300ms, placed(first)->attempt);
-    const Decision second
-        = world.dispatcher->place(start + 400ms, world.demand("c", prompt(1, 13000, 500)), Round::First);
+    CHECK(placed(first)->prefillTokens == 13500);
+    deployment.dispatcher->firstAnswer(start + 300ms, placed(first)->attempt);
+    const Decision second = deployment.dispatcher->place(
+        start + 400ms, deployment.demand("c", prompt(1, 13000, 500)), AttemptKind::First);
     REQUIRE(placed(second));
     CHECK(placed(second)->target.id == placed(first)->target.id);
-    CHECK(placed(second)->tokensToRead == 500);
+    CHECK(placed(second)->prefillTokens == 500);
 }
 
-// Symptom: the same shared part is read on most engines, and a third of what engines read is read again.
-// Sequence: several routers get requests with one shared part within the same moment, before any report went around.
-// Cause: each chose the engine that was idle by its own view.
-TEST_CASE("routers that have not heard of each other choose the same engine for a new prompt")
+// Guards against a shared part being prefilled on most engines, which made a third of all prefill redundant. Several
+// routers get requests with a new shared part before any report is exchanged, and each chose an engine that was idle in
+// its own view.
+TEST_CASE("routers without reports from each other choose the same engine for a new prompt")
 {
-    World one;
-    World other;
+    TestDeployment one;
+    TestDeployment other;
     for (std::uint64_t id = 1; id < 20; ++id) {
-        World a;
-        World b;
-        const Decision x = a.dispatcher->place(start, a.demand("c", prompt(id, 9000, 100)), Round::First);
-        const Decision y = b.dispatcher->place(start, b.demand("d", prompt(id, 9000, 900)), Round::First);
+        TestDeployment a;
+        TestDeployment b;
+        const Decision x = a.dispatcher->place(start, a.demand("c", prompt(id, 9000, 100)), AttemptKind::First);
+        const Decision y = b.dispatcher->place(start, b.demand("d", prompt(id, 9000, 900)), AttemptKind::First);
         CHECK(placed(x)->target.id == placed(y)->target.id);
     }
 }
 
-TEST_CASE("what a peer reports counts as load, until its report is too old")
+TEST_CASE("a peer's report counts as load until it expires")
 {
-    World world(2);
+    TestDeployment deployment(2);
     LoadReport report;
     report.targets[keyOf({ { "t0" } })] = { 40'000, 5, 90'000 };
-    world.dispatcher->peerReported(start, { "peer" }, report);
+    deployment.dispatcher->peerReported(start, { "peer" }, report);
     for (int i = 0; i < 3; ++i) {
-        const Decision it = world.dispatcher->place(start, world.demand("c", prompt(50 + i, 100, 100)), Round::First);
+        const Decision it
+            = deployment.dispatcher->place(start, deployment.demand("c", prompt(50 + i, 100, 100)), AttemptKind::First);
         CHECK(placed(it)->target.id.value == "t1");
     }
-    World later(1);
+    TestDeployment later(1);
     later.dispatcher->peerReported(start, { "peer" }, report);
-    CHECK(refused(later.dispatcher->place(start, later.demand("c", prompt(1, 100, 100)), Round::First)));
-    CHECK(placed(later.dispatcher->place(start + 3s, later.demand("c", prompt(1, 100, 100)), Round::First)));
+    CHECK(refused(later.dispatcher->place(start, later.demand("c", prompt(1, 100, 100)), AttemptKind::First)));
+    CHECK(placed(later.dispatcher->place(start + 3s, later.demand("c", prompt(1, 100, 100)), AttemptKind::First)));
 }
 
-TEST_CASE("a decision tells by how old sums it was made")
+TEST_CASE("a decision records the age of the aggregate that it was based on")
 {
-    World world(1);
+    TestDeployment deployment(1);
     const auto ageNow = [&](TimePoint now) {
-        return placed(world.dispatcher->place(now, world.demand("c", prompt(1, 100, 100)), Round::First))
-            ->admission.sumsAge;
+        return placed(
+            deployment.dispatcher->place(now, deployment.demand("c", prompt(1, 100, 100)), AttemptKind::First))
+            ->admission.oldestReportAge;
     };
     CHECK_FALSE(ageNow(start));
     LoadReport report;
     report.age = 200ms;
-    world.dispatcher->peerReported(start, { "peer" }, report);
+    deployment.dispatcher->peerReported(start, { "peer" }, report);
     CHECK(ageNow(start + 300ms) == Duration(500ms));
     CHECK_FALSE(ageNow(start + 5s));
 }
 
-TEST_CASE("a load report survives its encoding, and other bytes are refused")
+TEST_CASE("a load report survives encoding and decoding, and malformed bytes are rejected")
 {
     LoadReport report;
     report.serial = 5;
@@ -165,7 +168,7 @@
     REQUIRE(read.ok());
     CHECK(read->serial == 5);
     CHECK(read->age == 321ms);
-    CHECK(read->targets.at(7).memoryTokens == 3);
+    CHECK(read->targets.at(7).reservedTokens == 3);
     CHECK(read->customers.at({ "c" }).granted == 7);
     CHECK(read->placed == report.placed);
     CHECK_FALSE(decodeLoadReport(encode(report) + "x").ok());
@@ -173,7 +176,7 @@
     CHECK_FALSE(decodeLoadReport("nonsense").ok());
     CHECK_FALSE(decodeLoadReport(encodeCbor(nlohmann::json { 1, 2, 3, 4 })).ok());
     CHECK_FALSE(decodeLoadReport("").ok());
-    // They announce a map, a list and a text of thousands of millions of entries.
+    // These declare a map, an array and a string of more than 10^9 elements.
     CHECK_FALSE(decodeLoadReport("\xDF\x61\x61\x61\x61").ok());
     CHECK_FALSE(decodeLoadReport("\xDD\xFF\xFF\xFF\xFF").ok());
     CHECK_FALSE(decodeLoadReport("\xDB\xFF\xFF\xFF\xFF").ok());
@@ -187,57 +190,57 @@
     });
 }
 
-// Symptom: the largest tenth of the prompts is served a quarter as often as the others.
-// Sequence: a prompt of 50,000 tokens comes to an idle fleet and is refused, and again when it returns.
-// Cause: reading it takes longer than its goal, and the prediction was held against the goal as a whole.
-TEST_CASE("a prompt that takes longer to read than its goal is still taken by an idle engine")
+// Guards against large prompts being refused every time: a prompt of 50,000 tokens was refused by an idle fleet, also
+// on retry, because its prefill takes longer than its goal and was counted as waiting time. The largest tenth of the
+// prompts was served a quarter as often as the others.
+TEST_CASE("a prompt whose prefill takes longer than its goal is still admitted by an idle engine")
 {
-    World world(1);
-    CHECK(placed(world.dispatcher->place(start, world.demand("c", prompt(1, 100, 50'000)), Round::First)));
+    TestDeployment deployment(1);
+    CHECK(placed(
+        deployment.dispatcher->place(start, deployment.demand("c", prompt(1, 100, 50'000)), AttemptKind::First)));
 }
 
-TEST_CASE("a request that would wait beyond its goal is refused with the time to come back")
+TEST_CASE("a request that would wait beyond its goal is refused with a retry time")
 {
-    World world(1);
-    unsigned taken = 0;
+    TestDeployment deployment(1);
+    unsigned admitted = 0;
     std::optional<Refusal> refusal;
     for (int i = 0; i < 30 && !refusal; ++i) {
-        const Decision it
-            = world.dispatcher->place(start, world.demand("c" + std::to_string(i), prompt(i, 10, 5000)), Round::First);
+        const Decision it = deployment.dispatcher->place(
+            start, deployment.demand("c" + std::to_string(i), prompt(i, 10, 5000)), AttemptKind::First);
         if (const Refusal* found = refused(it))
             refusal = *found;
         else
-            ++taken;
+            ++admitted;
     }
     REQUIRE(refusal);
     CHECK(refusal->reason == RefusalReason::Overloaded);
-    // 600 ms hold some five prompts of 5,000 tokens at 44 tokens a millisecond.
-    CHECK(taken >= 3);
-    CHECK(taken <= 6);
-    CHECK(refusal->comeBack >= 100ms);
-    CHECK(refusal->comeBack <= 3s);
+    // About five prompts of 5,000 tokens can be prefilled in 600 ms at 44 tokens per millisecond.
+    CHECK(admitted >= 3);
+    CHECK(admitted <= 6);
+    CHECK(refusal->retryAfter >= 100ms);
+    CHECK(refusal->retryAfter <= 3s);
 }
 
-// Symptom: one customer sends eight times its usual, and requests of all others come late or are refused.
-// Sequence: overload sets in at once; the large customer's requests arrive eight times as often as the small one's.
-// Cause: engines admit in order of arrival, so that who sends most fills their queues.
-TEST_CASE("under overload a customer below its share is served, one above is turned away")
+// Guards against a customer with eight times its usual load making requests of all others late or refused. Overload
+// starts suddenly, and admission in order of arrival lets the customer with the most requests fill the queues.
+TEST_CASE("under overload a customer below its share is served, one above it is refused")
 {
-    World world(2);
-    std::map<std::string, unsigned> asked;
-    std::map<std::string, unsigned> taken;
+    TestDeployment deployment(2);
+    std::map<std::string, unsigned> requested;
+    std::map<std::string, unsigned> admitted;
     struct Running {
         AttemptId attempt;
         TimePoint first;
     };
     std::vector<Running> running;
-    std::map<TargetId, TimePoint> busyUntil; // Engines read one prompt after the other, 44 tokens a millisecond.
+    std::map<TargetId, TimePoint> busyUntil; // Engines prefill one prompt after the other at 44 tokens per millisecond.
     std::uint64_t id = 0;
     for (TimePoint now = start; now < start + 6s; now += 10ms) {
         for (const Running& it : running) {
             if (it.first <= now) {
-                world.dispatcher->firstAnswer(now, it.attempt);
-                world.dispatcher->ended(now, it.attempt, AttemptEnd::Answered);
+                deployment.dispatcher->firstAnswer(now, it.attempt);
+                deployment.dispatcher->ended(now, it.attempt, AttemptEnd::Answered);
             }
         }
         std::erase_if(running, [&](const Running& it) { return it.first <= now; });
@@ -245,200 +248,203 @@
         for (const std::string& customer : { std::string("large"), std::string(isSmallTurn ? "small" : "") }) {
             if (customer.empty())
                 continue;
-            Demand demand = world.demand(customer, prompt(++id, 10, 3000));
+            PlacementRequest demand = deployment.demand(customer, prompt(++id, 10, 3000));
             demand.arrived = now;
-            // The shares show over a window; what the onset itself costs is not judged.
+            // Shares take effect over a window, so the onset of the overload is not judged.
             const bool isJudged = now >= start + 2s;
-            asked[customer] += isJudged ? 1 : 0;
-            const Decision it = world.dispatcher->place(now, demand, Round::First);
+            requested[customer] += isJudged ? 1 : 0;
+            const Decision it = deployment.dispatcher->place(now, demand, AttemptKind::First);
             if (const Placement* placement = placed(it)) {
-                taken[customer] += isJudged ? 1 : 0;
+                admitted[customer] += isJudged ? 1 : 0;
                 TimePoint& busy = busyUntil[placement->target.id];
-                busy = std::max(busy, now) + 1ms * (placement->tokensToRead / 44);
+                busy = std::max(busy, now) + 1ms * (placement->prefillTokens / 44);
                 running.push_back({ placement->attempt, busy + 55ms });
             }
         }
     }
-    CHECK(taken["small"] >= asked["small"] * 9 / 10);
-    CHECK(taken["large"] < asked["large"] * 6 / 10);
-    CHECK(taken["large"] > taken["small"]);
+    CHECK(admitted["small"] >= requested["small"] * 9 / 10);
+    CHECK(admitted["large"] < requested["large"] * 6 / 10);
+    CHECK(admitted["large"] > admitted["small"]);
 }
 
-TEST_CASE("a target that can't be reached is avoided, then tried by a single request")
+TEST_CASE("an unreachable target is avoided, then probed by a single request")
 {
-    World world(2);
-    const Decision first = world.dispatcher->place(start, world.demand("c", prompt(1, 10, 10)), Round::First);
+    TestDeployment deployment(2);
+    const Decision first
+        = deployment.dispatcher->place(start, deployment.demand("c", prompt(1, 10, 10)), AttemptKind::First);
     const TargetId broken = placed(first)->target.id;
-    world.dispatcher->ended(start, placed(first)->attempt, AttemptEnd::Unreachable);
+    deployment.dispatcher->ended(start, placed(first)->attempt, AttemptEnd::Unreachable);
     for (int i = 0; i < 5; ++i) {
-        const Decision it = world.dispatcher->place(start + 100ms, world.demand("c", prompt(1, 10, 10)), Round::First);
+        const Decision it = deployment.dispatcher->place(
+            start + 100ms, deployment.demand("c", prompt(1, 10, 10)), AttemptKind::First);
         CHECK(placed(it)->target.id != broken);
     }
 }
 
-// Symptom: for seconds after the loss of a VM, requests to its target wait for their deadline.
-// Sequence: a target's VM vanishes; its open connections take requests and answer nothing; the list shows it for 3.6 s.
-// Cause: only an error made a router leave a target alone, and there is none until the kernel gives up.
+// Guards against requests to a lost VM waiting for their deadline. When a VM vanishes, requests can still be written to
+// its open connections without an error until the kernel gives up, and the target stays listed for 3.6 s. Routers
+// avoided a target only after an error.
 TEST_CASE("a target that has been silent for far longer than predicted is avoided until it answers")
 {
-    World world(2);
-    const Decision first = world.dispatcher->place(start, world.demand("c", prompt(1, 100, 100)), Round::First);
+    TestDeployment deployment(2);
+    const Decision first
+        = deployment.dispatcher->place(start, deployment.demand("c", prompt(1, 100, 100)), AttemptKind::First);
     const TargetId silent = placed(first)->target.id;
     const auto choose = [&](TimePoint now) {
-        Demand demand = world.demand("c", prompt(1, 100, 100));
-        const Decision it = world.dispatcher->place(now, demand, Round::First);
-        world.dispatcher->ended(now, placed(it)->attempt, AttemptEnd::CallerGone);
+        PlacementRequest demand = deployment.demand("c", prompt(1, 100, 100));
+        const Decision it = deployment.dispatcher->place(now, demand, AttemptKind::First);
+        deployment.dispatcher->ended(now, placed(it)->attempt, AttemptEnd::CallerGone);
         return placed(it)->target.id;
     };
     CHECK(choose(start + 100ms) == silent);
     CHECK(choose(start + 1500ms) != silent);
-    world.dispatcher->firstAnswer(start + 1600ms, placed(first)->attempt);
+    deployment.dispatcher->firstAnswer(start + 1600ms, placed(first)->attempt);
     CHECK(choose(start + 1700ms) == silent);
 }
 
-// Symptom: prompts are sent to an engine for what it kept, and it has to read them anew.
-// Sequence: an engine is killed and starts again under the name that it had.
-// Cause: the router's picture of it was kept by its name: what it held, its running requests, its failures.
-TEST_CASE("a target's next life holds nothing, runs nothing and has not failed")
+// Guards against prompts being placed on a restarted engine for its lost prefix cache. An engine is killed and restarts
+// under the same name; the router kept its model (cache, running requests, failures) by name.
+TEST_CASE("a restarted target has an empty cache, no running requests and no failures")
 {
-    World world(1);
-    const auto ask = [&](TimePoint now) {
-        return *placed(world.dispatcher->place(now, world.demand("c", prompt(1, 5000, 100)), Round::First));
+    TestDeployment deployment(1);
+    const auto placeRequest = [&](TimePoint now) {
+        return *placed(
+            deployment.dispatcher->place(now, deployment.demand("c", prompt(1, 5000, 100)), AttemptKind::First));
     };
-    const Placement first = ask(start);
-    CHECK(first.tokensToRead == 5100);
-    CHECK(ask(start + 10ms).tokensToRead == 100);
+    const Placement first = placeRequest(start);
+    CHECK(first.prefillTokens == 5100);
+    CHECK(placeRequest(start + 10ms).prefillTokens == 100);
     LoadReport late;
     late.targets[keyOf({ { "t0" }, 0 })] = { 30'000, 40, 90'000 };
     late.placed[keyOf({ { "t0" }, 0 })].shared[prefixesOf({ { 1, 5000 } }).front().key] = 5000;
 
-    world.targets.front().born = 2000;
-    world.dispatcher->setTargets(start + 20ms, world.targets);
-    world.dispatcher->peerReported(start + 20ms, { "peer" }, late);
-    const Placement second = ask(start + 30ms);
-    CHECK(second.tokensToRead == 5100);
-    CHECK(second.target.born == 2000);
-    CHECK(second.predictedFirst == first.predictedFirst);
-    // The end of a request that ran in the former life says nothing of this one.
-    world.dispatcher->ended(start + 40ms, first.attempt, AttemptEnd::Broken);
-    world.dispatcher->ended(start + 40ms, first.attempt, AttemptEnd::Unreachable);
-    CHECK(world.dispatcher->report(start + 50ms).targets.at(keyOf({ { "t0" }, 2000 })).active == 1);
-    CHECK(ask(start + 60ms).tokensToRead == 100);
+    deployment.targets.front().startedAtMs = 2000;
+    deployment.dispatcher->setTargets(start + 20ms, deployment.targets);
+    deployment.dispatcher->peerReported(start + 20ms, { "peer" }, late);
+    const Placement second = placeRequest(start + 30ms);
+    CHECK(second.prefillTokens == 5100);
+    CHECK(second.target.startedAtMs == 2000);
+    CHECK(second.predictedFirstEventDelay == first.predictedFirstEventDelay);
+    // The end of a request that ran in the previous incarnation has no effect on this one.
+    deployment.dispatcher->ended(start + 40ms, first.attempt, AttemptEnd::Broken);
+    deployment.dispatcher->ended(start + 40ms, first.attempt, AttemptEnd::Unreachable);
+    CHECK(deployment.dispatcher->report(start + 50ms).targets.at(keyOf({ { "t0" }, 2000 })).active == 1);
+    CHECK(placeRequest(start + 60ms).prefillTokens == 100);
 }
 
-// Symptom: a router says that it is ready and refuses all requests.
-// Sequence: all targets of the configuration's services have gone; an entry of another writer names one of none.
-// Cause: any entry counted as a target.
-TEST_CASE("a target of a service that the configuration doesn't name is none")
+// Guards against a router that reports itself ready but refuses all requests. All targets of the configured services
+// have gone, and an entry by another writer, for a service that is not configured, counted as a target.
+TEST_CASE("a target of a service that is not configured does not count")
 {
-    World world(1);
-    CHECK(world.dispatcher->hasTargets());
-    world.targets.front().service = { "unheard-of" };
-    world.dispatcher->setTargets(start, world.targets);
-    CHECK_FALSE(world.dispatcher->hasTargets());
+    TestDeployment deployment(1);
+    CHECK(deployment.dispatcher->hasTargets());
+    deployment.targets.front().service = { "unheard-of" };
+    deployment.dispatcher->setTargets(start, deployment.targets);
+    CHECK_FALSE(deployment.dispatcher->hasTargets());
 }
 
-TEST_CASE("a draining target gets nothing; with no other the request is refused at once")
+TEST_CASE("a draining target gets no requests; without another target the request is refused at once")
 {
-    World world(1);
-    world.targets.front().draining = true;
-    world.dispatcher->setTargets(start, world.targets);
-    CHECK_FALSE(world.dispatcher->hasTargets());
-    const Decision it = world.dispatcher->place(start, world.demand("c", prompt(1, 10, 10)), Round::First);
+    TestDeployment deployment(1);
+    deployment.targets.front().draining = true;
+    deployment.dispatcher->setTargets(start, deployment.targets);
+    CHECK_FALSE(deployment.dispatcher->hasTargets());
+    const Decision it
+        = deployment.dispatcher->place(start, deployment.demand("c", prompt(1, 10, 10)), AttemptKind::First);
     REQUIRE(refused(it));
     CHECK(refused(it)->reason == RefusalReason::NoTarget);
 }
 
-// Symptom: the process ends by itself after a share window.
-// Sequence: a customer's requests count no tokens, as they go to an application; others of it are still in the window.
-// Cause: the customer's sums were dropped at zero while entries of it were left.
-TEST_CASE("a customer's use goes away with its last entry, whatever the amounts")
+// Guards against the process terminating after a share window. Requests to an application count zero tokens, and the
+// customer's sums were erased when they reached zero although entries of it were still in the window.
+TEST_CASE("a customer's usage is erased with its last entry, whatever the amounts")
 {
     CustomerShares shares(4s);
-    shares.asked(start, { "c" }, 0);
+    shares.requested(start, { "c" }, 0);
     shares.granted(start + 1s, { "c" }, 0);
-    shares.asked(start + 2s, { "c" }, 5);
-    CHECK(shares.own(start + 4500ms).size() == 1);
-    CHECK(shares.own(start + 7s).empty());
+    shares.requested(start + 2s, { "c" }, 5);
+    CHECK(shares.localUsage(start + 4500ms).size() == 1);
+    CHECK(shares.localUsage(start + 7s).empty());
 }
 
-// Symptom: a customer gets less than half of what another one gets, though it asks for as much.
-// Sequence: all of its callers use one router of an eighth of a core, which turns most of their requests away; the
-// other customer's use all routers. The engines have room. Cause: whoever found an engine with a short queue was
-// served, whatever it had had already.
-TEST_CASE("a customer far above one that waits for as much is turned away, and taken again when they are even")
+// Guards against a customer getting less than half of what another one gets for the same demand. All of its callers use
+// one router with an eighth of a core, which sheds most of their requests; callers of the other customer use all
+// routers. The engines have room, and any request that found a short queue was admitted, whatever its customer had
+// already been granted.
+TEST_CASE("a customer far above one whose requests are shed is refused, and admitted again when they are even")
 {
-    World world;
+    TestDeployment deployment;
     Duration now {};
     const auto turnAway = [&](int n) {
         for (int i = 0; i < n; ++i)
-            world.dispatcher->turnedAway(start + now, { "stuck" }, prompt(1, 20'000, 1000));
+            deployment.dispatcher->shed(start + now, { "stuck" }, prompt(1, 20'000, 1000));
     };
-    const auto ask = [&](const std::string& customer) {
-        auto demand = world.demand(customer, prompt(2, 1000, 200));
+    const auto placeRequest = [&](const std::string& customer) {
+        auto demand = deployment.demand(customer, prompt(2, 1000, 200));
         demand.arrived = start + now;
-        const Decision decision = world.dispatcher->place(start + now, demand, Round::First);
+        const Decision decision = deployment.dispatcher->place(start + now, demand, AttemptKind::First);
         if (const Placement* placement = placed(decision))
-            world.dispatcher->ended(start + now, placement->attempt, AttemptEnd::Answered);
+            deployment.dispatcher->ended(start + now, placement->attempt, AttemptEnd::Answered);
         return placed(decision) != nullptr;
     };
     turnAway(45);
-    unsigned taken = 0;
+    unsigned admitted = 0;
     for (int i = 0; i < 800; ++i, now += 5ms) {
         if (i % 200 == 0)
             turnAway(15);
-        taken += ask("roaming") ? 1 : 0;
+        admitted += placeRequest("roaming") ? 1 : 0;
     }
-    CHECK(taken > 35);
-    CHECK(taken < 100); // 60,000 tokens are some 43 of these; without the other's waiting the engines would take all.
+    CHECK(admitted > 35);
+    CHECK(
+        admitted < 100); // 60,000 tokens are about 43 requests. Without the shed customer, the engines would admit all.
     now += 5s;
-    CHECK(ask("roaming"));
+    CHECK(placeRequest("roaming"));
 }
 
-// Guards against a customer that is turned away from idle engines for being far above itself.
-TEST_CASE("a customer that waits is not far above itself when engines take requests again")
+// Guards against a customer being refused although engines are idle, by comparison with its own shed requests.
+TEST_CASE("a customer with shed requests is not far above itself when engines accept requests again")
 {
-    World world;
-    for (const Target& it : world.targets)
-        world.dispatcher->backOff(start, it.life(), 3s);
+    TestDeployment deployment;
+    for (const Target& it : deployment.targets)
+        deployment.dispatcher->backOff(start, it.incarnation(), 3s);
     Duration now {};
-    const auto ask = [&] {
-        auto demand = world.demand("alone", prompt(2, 1000, 200));
+    const auto placeRequest = [&] {
+        auto demand = deployment.demand("alone", prompt(2, 1000, 200));
         demand.arrived = start + now;
-        const Decision decision = world.dispatcher->place(start + now, demand, Round::First);
+        const Decision decision = deployment.dispatcher->place(start + now, demand, AttemptKind::First);
         if (const Placement* placement = placed(decision)) {
-            world.dispatcher->firstAnswer(start + now, placement->attempt);
-            world.dispatcher->ended(start + now, placement->attempt, AttemptEnd::Answered);
+            deployment.dispatcher->firstAnswer(start + now, placement->attempt);
+            deployment.dispatcher->ended(start + now, placement->attempt, AttemptEnd::Answered);
         }
         return placed(decision) != nullptr;
     };
     for (; now < 3s; now += 10ms) {
-        CHECK_FALSE(ask());
-        world.dispatcher->turnedAway(start + now, { "alone" }, prompt(1, 1000, 200));
+        CHECK_FALSE(placeRequest());
+        deployment.dispatcher->shed(start + now, { "alone" }, prompt(1, 1000, 200));
     }
-    unsigned taken = 0;
+    unsigned admitted = 0;
     for (int i = 0; i < 200; ++i, now += 10ms)
-        taken += ask() ? 1 : 0;
-    CHECK(taken == 200);
+        admitted += placeRequest() ? 1 : 0;
+    CHECK(admitted == 200);
 }
 
-// Load pattern: 64 routers whose reports are half a second old, and targets that are all alike to them.
+// Guards against 64 routers with reports half a second old, to which all targets look alike, choosing the same one.
 TEST_CASE("routers of a large fleet do not all choose the same idle target")
 {
     const auto targetsChosen = [](unsigned routers) {
-        World world(40);
+        TestDeployment deployment(40);
         std::set<TargetId> chosen;
         for (unsigned i = 0; i < 30; ++i) {
             const auto dispatcher = Dispatcher::make(DispatchSettings {}, { "a" }, i);
-            dispatcher->setConfig(world.table);
-            dispatcher->setTargets(start, world.targets);
+            dispatcher->setConfig(deployment.table);
+            dispatcher->setTargets(start, deployment.targets);
             dispatcher->setRouterCount(routers);
             LoadReport load;
             for (unsigned k = 1; k < 40; ++k)
                 load.targets[keyOf({ { "t" + std::to_string(k) } })] = { 2000 + 10 * k, 1, 5000 };
             dispatcher->peerReported(start, { "peer" }, load);
             const Decision decision
-                = dispatcher->place(start, world.demand("c", { 500, 100, { { 7, 500 } } }), Round::First);
+                = dispatcher->place(start, deployment.demand("c", { 500, 100, { { 7, 500 } } }), AttemptKind::First);
             REQUIRE(placed(decision));
             chosen.insert(placed(decision)->target.id);
         }
@@ -454,12 +460,12 @@
     CHECK(maxMinLevel({ 10, 100, 100 }, 110) == Approx(50));
     CHECK(maxMinLevel({ 100 }, 60) == Approx(60));
     rc::prop("the shares under the level add up to the capacity", [] {
-        const auto asked = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000)));
+        const auto requested = *rc::gen::nonEmpty(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 1000)));
         const double capacity = *rc::gen::inRange(1, 5000);
-        const double level = maxMinLevel({ asked.begin(), asked.end() }, capacity);
+        const double level = maxMinLevel({ requested.begin(), requested.end() }, capacity);
         double sum = 0;
         double all = 0;
-        for (const int it : asked) {
+        for (const int it : requested) {
             sum += std::min<double>(it, level);
             all += it;
         }
@@ -467,10 +473,10 @@
     });
 }
 
-// Symptom: a service gets more repeats than its budget allows, though each router keeps its own.
-// Sequence: a target fails two requests in five on all routers at once; a partition hides them from each other.
-// Cause: each router would spend the whole slack.
-TEST_CASE("all routers together stay within the retry budget while each sees only itself")
+// Guards against a service getting more retries than its budget although each router stays within its own limit. A
+// target fails two requests in five of all routers, which are partitioned from each other, so that each could spend the
+// whole slack.
+TEST_CASE("all routers together stay within the retry budget while each knows only itself")
 {
     const DispatchSettings settings;
     constexpr unsigned routers = 8;
@@ -482,22 +488,22 @@
         RetryWindow& window = windows[random.below(routers)];
         window.countRequest(now);
         requests.push_back(now);
-        if (random.fraction() < 0.4 && window.take(now, 1))
+        if (random.fraction() < 0.4 && window.tryAcquire(now, 1))
             retries.push_back(now);
         for (auto* times : { &retries, &requests }) {
             while (!times->empty() && now - times->front() > settings.retryWindow)
                 times->pop_front();
         }
-        const double most = settings.retryRatio * static_cast<double>(requests.size()) + settings.retrySlack;
-        REQUIRE(static_cast<double>(retries.size()) <= most);
+        const double allowed = settings.retryRatio * static_cast<double>(requests.size()) + settings.retrySlack;
+        REQUIRE(static_cast<double>(retries.size()) <= allowed);
     }
 }
 
-// Symptom: an application gets 1,228 repeats in ten seconds beside 3,518 requests, where 874 are allowed.
-// Sequence: all of 65 routers are killed and start again while targets refuse requests as full; later a partition hides
-// half of them from the other half. Cause: a router that had just started knew of no other and took an eighth of the
-// slack, as did the 64 others; one in a partition divided by those that it still saw.
-TEST_CASE("many routers stay within the retry budget while they are killed together and cut off from each other")
+// Guards against exceeding the retry budget: an application got 1,228 retries in ten seconds beside 3,518 requests,
+// where 874 are allowed. All of 65 routers are killed and restarted while targets refuse requests as full; later a
+// partition separates one half from the other. Each restarted router knew of no other and took an eighth of the slack;
+// each partitioned one divided the slack by the routers that it could still reach.
+TEST_CASE("many routers stay within the retry budget while they are killed together and partitioned")
 {
     DispatchSettings settings;
     settings.retrySlack = 170;
@@ -505,40 +511,40 @@
     const std::set<TimePoint> kills { start + 8s, start + 31s };
     const auto known = [](TimePoint now) { return now >= start + 20s && now < start + 31s ? routers / 2 : routers; };
     std::vector<RetryWindow> windows(routers, RetryWindow(settings));
-    std::vector<unsigned> most(routers, 1);
-    std::vector<TimePoint> bornAt(routers, start);
+    std::vector<unsigned> maxKnownRouters(routers, 1);
+    std::vector<TimePoint> startedAt(routers, start);
     std::deque<TimePoint> retries;
     std::deque<TimePoint> requests;
     SeededRandom random(3);
-    std::size_t mostRetries = 0;
+    std::size_t maxRetriesInWindow = 0;
     for (TimePoint now = start; now < start + 60s; now += 4ms) {
         if (kills.contains(now)) {
             windows = std::vector<RetryWindow>(routers, RetryWindow(settings));
-            most.assign(routers, 1);
-            bornAt.assign(routers, now);
+            maxKnownRouters.assign(routers, 1);
+            startedAt.assign(routers, now);
         }
         const auto i = random.below(routers);
-        // A router hears of the others some time after its start.
-        if (now - bornAt[i] > 700ms)
-            most[i] = std::max(most[i], known(now));
+        // A router learns of the others some time after its start.
+        if (now - startedAt[i] > 700ms)
+            maxKnownRouters[i] = std::max(maxKnownRouters[i], known(now));
         windows[i].countRequest(now);
         requests.push_back(now);
         for (int k = 0; k < 3; ++k) {
-            if (windows[i].take(now, most[i]))
+            if (windows[i].tryAcquire(now, maxKnownRouters[i]))
                 retries.push_back(now);
         }
         for (auto* times : { &retries, &requests }) {
             while (!times->empty() && now - times->front() > settings.retryWindow)
                 times->pop_front();
         }
-        mostRetries = std::max(mostRetries, retries.size());
+        maxRetriesInWindow = std::max(maxRetriesInWindow, retries.size());
         const double allowed = settings.retryRatio * static_cast<double>(requests.size()) + settings.retrySlack;
         REQUIRE(static_cast<double>(retries.size()) <= allowed);
     }
-    CHECK(mostRetries > 300); // The budget is used, not hoarded.
+    CHECK(maxRetriesInWindow > 300); // The budget is actually used.
 }
 
-TEST_CASE("an engine's memory keeps the prompts used last, and a part only behind those before it")
+TEST_CASE("an engine's cache keeps the most recent prompts, and a part only together with those before it")
 {
     PrefixMemory memory;
     memory.setCapacity(300);
@@ -547,24 +553,24 @@
     const auto c = prefixesOf({ { 9, 120 } });
     memory.touch(a);
     memory.touch(b);
-    CHECK(memory.keptTokens(a) == 150);
+    CHECK(memory.cachedTokens(a) == 150);
     CHECK(memory.tokens() == 200);
     memory.touch(c);
-    CHECK(memory.keptTokens(c) == 120);
-    CHECK(memory.keptTokens(b) == 150);
-    CHECK(memory.keptTokens(a) == 100);
+    CHECK(memory.cachedTokens(c) == 120);
+    CHECK(memory.cachedTokens(b) == 150);
+    CHECK(memory.cachedTokens(a) == 100);
     CHECK(memory.tokens() <= 300);
-    // Another order of the same parts is another prompt.
-    CHECK(memory.keptTokens(prefixesOf({ { 3, 50 }, { 1, 100 } })) == 0);
+    // The same parts in another order are a different prompt.
+    CHECK(memory.cachedTokens(prefixesOf({ { 3, 50 }, { 1, 100 } })) == 0);
 }
 
-TEST_CASE("a request of kind Once never runs a second time, and is never said not to have run when it may have")
+TEST_CASE("a request of kind Once never runs twice, and is never reported as not run if it may have run")
 {
-    rc::prop("over any course of attempts", [] {
+    rc::prop("for any sequence of attempts", [] {
         AttemptFacts facts;
         facts.kind = *rc::gen::element(RequestKind::Idempotent, RequestKind::Once, RequestKind::Stream);
         facts.isResumable = *rc::gen::arbitrary<bool>();
-        facts.attemptsMost = *rc::gen::inRange(1U, 4U);
+        facts.maxAttempts = *rc::gen::inRange(1U, 4U);
         unsigned runs = 0;
         for (;;) {
             facts.end = *rc::gen::element(AttemptEnd::Answered, AttemptEnd::Failed, AttemptEnd::NotRun,
@@ -578,7 +584,7 @@
             }
             facts.runsSoFar = runs;
             const NextStep step = nextStep(facts);
-            RC_ASSERT(facts.triesSoFar <= mostTries);
+            RC_ASSERT(facts.triesSoFar <= maxTries);
             if (step == NextStep::Refuse)
                 RC_ASSERT(runs == 0U);
             if (step != NextStep::TryElsewhere)
@@ -586,6 +592,6 @@
         }
         if (facts.kind == RequestKind::Once || (facts.kind == RequestKind::Stream && !facts.isResumable))
             RC_ASSERT(runs <= 1U);
-        RC_ASSERT(runs <= facts.attemptsMost);
+        RC_ASSERT(runs <= facts.maxAttempts);
     });
 }
--- a/tests/DispatchWorld.cpp
+++ b/tests/DispatchWorld.cpp
@@ -7,42 +7,42 @@
     using namespace std::chrono_literals;
 
     constexpr TimePoint start { 1000s };
-    constexpr Duration step = 5ms;
-    constexpr Duration reportEvery = 60ms;
-    constexpr Duration firstBase = 55ms;
+    constexpr Duration stepDuration = 5ms;
+    constexpr Duration reportInterval = 60ms;
+    constexpr Duration firstEventOverhead = 55ms;
     constexpr Duration streamTime = 800ms;
-    constexpr Duration listedAfterLoss = 3600ms;
+    constexpr Duration listedAfterFailure = 3600ms;
     constexpr unsigned customers = 10;
-    constexpr std::uint32_t tokensOut = 120;
-    constexpr unsigned mostAsks = 4;
+    constexpr std::uint32_t maxOutputTokens = 120;
+    constexpr unsigned maxAttempts = 4;
 
-    /// Routers of a fleet in which reports come over relays.
+    /// Router count of a fleet in which load reports are relayed.
     constexpr unsigned largeFleet = 295;
-    constexpr Duration homesTrusted = 20s;
-    const VmId sumOfOthers { "sum" };
+    constexpr Duration warmStartDuration = 20s;
+    const VmId aggregateOfOthers { "sum" };
     const std::string pinned = "pinned";
 
     std::size_t secondOf(TimePoint now) { return static_cast<std::size_t>((now - start) / 1s); }
 
-    double tokensOf(const PromptSize& prompt) { return prompt.tokensIn + 2.0 * prompt.tokensOut; }
+    double tokensOf(const PromptSize& prompt) { return prompt.inputTokens + 2.0 * prompt.maxOutputTokens; }
 
 } // namespace
 
 void add(Outcome& sum, const Outcome& other)
 {
-    sum.asked += other.asked;
+    sum.requested += other.requested;
     sum.onTime += other.onTime;
     sum.late += other.late;
     sum.refused += other.refused;
-    sum.smallAsked += other.smallAsked;
-    sum.smallOnTime += other.smallOnTime;
-    sum.tokensRead += other.tokensRead;
-    sum.largeAsked += other.largeAsked;
+    sum.otherRequested += other.otherRequested;
+    sum.otherOnTime += other.otherOnTime;
+    sum.prefilledTokens += other.prefilledTokens;
+    sum.largeRequested += other.largeRequested;
     sum.largeRefused += other.largeRefused;
-    sum.smallKindAsked += other.smallKindAsked;
+    sum.smallKindRequested += other.smallKindRequested;
     sum.smallKindRefused += other.smallKindRefused;
-    sum.askedAfterLoss += other.askedAfterLoss;
-    sum.onTimeAfterLoss += other.onTimeAfterLoss;
+    sum.requestedAfterRestart += other.requestedAfterRestart;
+    sum.onTimeAfterRestart += other.onTimeAfterRestart;
 }
 
 DispatchWorld::DispatchWorld(const LoadPattern& pattern, const Policy& policy, std::uint64_t seed)
@@ -53,7 +53,7 @@
     FleetConfig config;
     config.version = 1;
     const double readPerSecond = pattern.engines * pattern.engineTokensPerMs * 1000;
-    config.tokensPerSecond = policy.isSharing ? readPerSecond * pattern.toldCapacity : 0;
+    config.tokensPerSecond = policy.hasFairShares ? readPerSecond * pattern.configuredCapacityFactor : 0;
     config.services = { { { "llm" }, 100, EngineProfile { 64, pattern.engineMemory, 3 } } };
     Route route;
     route.kind = RequestKind::Stream;
@@ -69,20 +69,20 @@
         const TargetId id { "e" + std::to_string(i) };
         m_targets.push_back({ id, { "llm" }, "127.0.0.1:1", { "z" }, 64, false });
         m_engines[id].id = id;
-        m_engines[id].kept.setCapacity(pattern.engineMemory);
+        m_engines[id].prefixCache.setCapacity(pattern.engineMemory);
     }
     makeRouters(start, Duration::zero());
 }
 
-void DispatchWorld::makeRouters(TimePoint now, Duration homesTrusted)
+void DispatchWorld::makeRouters(TimePoint now, Duration warmStartDuration)
 {
     DispatchSettings settings;
-    settings.homesTrusted = homesTrusted;
+    settings.warmStartDuration = warmStartDuration;
     settings.homeWeight = m_policy.homeWeight;
-    if (!m_policy.isAdmitting)
-        settings.admitShare = 1e6;
-    if (!m_policy.isAffine) {
-        settings.readWeight = 1;
+    if (!m_policy.hasAdmissionControl)
+        settings.admissionGoalFraction = 1e6;
+    if (!m_policy.hasCacheAffinity) {
+        settings.prefillWeight = 1;
         settings.homeWeight = 0;
     }
     m_routers.clear();
@@ -94,52 +94,54 @@
     }
 }
 
-void DispatchWorld::loseRouters(TimePoint now)
+void DispatchWorld::restartRouters(TimePoint now)
 {
-    if (m_areRoutersLost || m_pattern.routersLostAt == Duration::zero() || now < start + m_pattern.routersLostAt)
+    if (m_haveRoutersRestarted || m_pattern.routersRestartAt == Duration::zero()
+        || now < start + m_pattern.routersRestartAt)
         return;
-    m_areRoutersLost = true;
+    m_haveRoutersRestarted = true;
     m_events.clear();
-    m_underWay.clear();
-    makeRouters(now, m_policy.isTrusting ? homesTrusted : Duration::zero());
+    m_reportsInTransit.clear();
+    makeRouters(now, m_policy.hasWarmStart ? warmStartDuration : Duration::zero());
 }
 
-bool DispatchWorld::isAfterLoss(TimePoint at) const
+bool DispatchWorld::isAfterRestart(TimePoint at) const
 {
-    const TimePoint lostAt = start + m_pattern.routersLostAt;
-    return m_areRoutersLost && at >= lostAt && at < lostAt + 4s;
+    const TimePoint restartedAt = start + m_pattern.routersRestartAt;
+    return m_haveRoutersRestarted && at >= restartedAt && at < restartedAt + 4s;
 }
 
-DispatchWorld::Request DispatchWorld::draw(TimePoint now)
+DispatchWorld::Request DispatchWorld::generateRequest(TimePoint now)
 {
-    const bool isHot = m_random.fraction() < m_pattern.hotCustomer;
-    const auto shared = m_random.fraction() < m_pattern.hotPrompt
+    const bool isHot = m_random.fraction() < m_pattern.hotCustomerFraction;
+    const auto shared = m_random.fraction() < m_pattern.hotPromptFraction
         ? 0
-        : static_cast<std::uint64_t>(m_random.below(m_pattern.sharedParts));
-    const std::uint32_t ownRange = m_pattern.ownMost - m_pattern.ownLeast;
-    const auto own = static_cast<std::uint32_t>(m_pattern.ownLeast + m_random.below(ownRange));
+        : static_cast<std::uint64_t>(m_random.below(m_pattern.sharedPromptCount));
+    const std::uint32_t unsharedRange = m_pattern.maxUnsharedTokens - m_pattern.minUnsharedTokens;
+    const auto unsharedTokens = static_cast<std::uint32_t>(m_pattern.minUnsharedTokens + m_random.below(unsharedRange));
     Request request;
     request.customer = isHot ? "hot" : "c" + std::to_string(m_random.below(customers - 1));
     const std::uint32_t sharedTokens = m_pattern.sharedTokens;
-    if (m_pattern.pinnedCustomer > 0 && m_random.fraction() < m_pattern.pinnedCustomer)
+    if (m_pattern.pinnedCustomerFraction > 0 && m_random.fraction() < m_pattern.pinnedCustomerFraction)
         request.customer = pinned;
-    request.prompt = { sharedTokens + own, tokensOut, { { shared, sharedTokens }, { ++m_ownPart, own } } };
+    request.prompt = { sharedTokens + unsharedTokens, maxOutputTokens,
+        { { shared, sharedTokens }, { ++m_lastPartId, unsharedTokens } } };
     request.arrived = now;
-    request.isLarge = own >= m_pattern.ownMost - ownRange / 10;
-    if (m_pattern.smallKind > 0 && m_random.fraction() < m_pattern.smallKind) {
+    request.isLarge = unsharedTokens >= m_pattern.maxUnsharedTokens - unsharedRange / 10;
+    if (m_pattern.smallKindFraction > 0 && m_random.fraction() < m_pattern.smallKindFraction) {
         request.isSmallKind = true;
         request.isLarge = false;
         const std::uint32_t half = m_pattern.smallTokens / 2;
-        request.prompt = { 2 * half, tokensOut, { { 1000 + shared, half }, { ++m_ownPart, half } } };
+        request.prompt = { 2 * half, maxOutputTokens, { { 1000 + shared, half }, { ++m_lastPartId, half } } };
     }
     return request;
 }
 
-Outcome DispatchWorld::play()
+Outcome DispatchWorld::run()
 {
-    double due = 0;
+    double pendingRequests = 0;
     TimePoint nextReport = start;
-    for (TimePoint now = start; now < start + m_pattern.lasts; now += step) {
+    for (TimePoint now = start; now < start + m_pattern.totalDuration; now += stepDuration) {
         while (!m_events.empty() && m_events.begin()->first <= now) {
             const Event it = m_events.begin()->second;
             m_events.erase(m_events.begin());
@@ -148,44 +150,44 @@
             else
                 m_routers[it.router]->firstAnswer(now, it.attempt);
             if (!it.isEnd)
-                m_tally.began(secondOf(now), it.request.customer, tokensOf(it.request.prompt));
+                m_usageTally.started(secondOf(now), it.request.customer, tokensOf(it.request.prompt));
         }
-        while (!m_returns.empty() && m_returns.begin()->first <= now) {
-            Request request = m_returns.begin()->second;
-            m_returns.erase(m_returns.begin());
-            ask(now, std::move(request));
+        while (!m_retries.empty() && m_retries.begin()->first <= now) {
+            Request request = m_retries.begin()->second;
+            m_retries.erase(m_retries.begin());
+            submit(now, std::move(request));
         }
-        loseEngines(now);
-        loseRouters(now);
+        failEngines(now);
+        restartRouters(now);
         const bool isBurst = now >= start + 2s && now < start + 4s;
-        due += m_pattern.requestsPerSecond * (isBurst ? m_pattern.burst : 1)
-            * std::chrono::duration<double>(step).count();
-        for (; due >= 1; due -= 1) {
-            Request request = draw(now);
-            ++m_outcome.asked;
-            m_outcome.largeAsked += request.isLarge ? 1 : 0;
-            m_outcome.smallKindAsked += request.isSmallKind ? 1 : 0;
-            m_outcome.askedAfterLoss += isAfterLoss(now) ? 1 : 0;
-            m_outcome.smallAsked += request.customer == "hot" ? 0 : 1;
-            ask(now, std::move(request));
+        pendingRequests += m_pattern.requestsPerSecond * (isBurst ? m_pattern.burst : 1)
+            * std::chrono::duration<double>(stepDuration).count();
+        for (; pendingRequests >= 1; pendingRequests -= 1) {
+            Request request = generateRequest(now);
+            ++m_outcome.requested;
+            m_outcome.largeRequested += request.isLarge ? 1 : 0;
+            m_outcome.smallKindRequested += request.isSmallKind ? 1 : 0;
+            m_outcome.requestedAfterRestart += isAfterRestart(now) ? 1 : 0;
+            m_outcome.otherRequested += request.customer == "hot" ? 0 : 1;
+            submit(now, std::move(request));
         }
         if (now >= nextReport) {
             report(now);
-            nextReport = now + reportEvery;
+            nextReport = now + reportInterval;
         }
     }
     return m_outcome;
 }
 
-void DispatchWorld::loseEngines(TimePoint now)
+void DispatchWorld::failEngines(TimePoint now)
 {
-    if (!m_pattern.lostEngines || now < start + 3s)
+    if (!m_pattern.failedEngines || now < start + 3s)
         return;
-    for (unsigned i = 0; i < m_pattern.lostEngines; ++i)
-        m_engines.at({ "e" + std::to_string(i) }).isLost = true;
-    if (now < start + 3s + listedAfterLoss)
+    for (unsigned i = 0; i < m_pattern.failedEngines; ++i)
+        m_engines.at({ "e" + std::to_string(i) }).hasFailed = true;
+    if (now < start + 3s + listedAfterFailure)
         return;
-    std::vector<Target> left(m_targets.begin() + m_pattern.lostEngines, m_targets.end());
+    std::vector<Target> left(m_targets.begin() + m_pattern.failedEngines, m_targets.end());
     for (const auto& it : m_routers)
         it->setTargets(now, left);
 }
@@ -197,8 +199,8 @@
 
 unsigned DispatchWorld::chooseRouter(const Request& request)
 {
-    const auto drawn = static_cast<unsigned>(m_random.below(m_pattern.routers));
-    return request.customer == pinned ? 0 : drawn;
+    const auto randomRouter = static_cast<unsigned>(m_random.below(m_pattern.routers));
+    return request.customer == pinned ? 0 : randomRouter;
 }
 
 void DispatchWorld::countRefused(const Request& request)
@@ -208,24 +210,24 @@
     m_outcome.smallKindRefused += request.isSmallKind ? 1 : 0;
 }
 
-void DispatchWorld::ask(TimePoint now, Request request)
+void DispatchWorld::submit(TimePoint now, Request request)
 {
     const unsigned router = chooseRouter(request);
-    m_tally.asked(secondOf(now), request.customer, tokensOf(request.prompt));
-    Demand demand { { request.customer }, { "llm" }, &routeOf(request), request.prompt, 0, request.arrived, now + 12s,
-        {} };
-    if (!m_policy.isAffine)
-        demand.prompt.parts = { { ++m_ownPart, request.prompt.tokensIn } };
-    const Decision decision = m_routers[router]->place(now, demand, Round::First);
+    m_usageTally.requested(secondOf(now), request.customer, tokensOf(request.prompt));
+    PlacementRequest demand { { request.customer }, { "llm" }, &routeOf(request), request.prompt, 0, request.arrived,
+        now + 12s, {} };
+    if (!m_policy.hasCacheAffinity)
+        demand.prompt.parts = { { ++m_lastPartId, request.prompt.inputTokens } };
+    const Decision decision = m_routers[router]->place(now, demand, AttemptKind::First);
     if (const auto* placement = std::get_if<Placement>(&decision)) {
         serve(now, router, request, *placement);
         return;
     }
-    m_tally.refused(secondOf(now), request.customer);
-    const Duration comeBack = m_pattern.repeatsAtOnce ? Duration(20ms) : std::get<Refusal>(decision).comeBack;
-    const unsigned most = m_pattern.repeatsAtOnce ? mostAsks : 2;
-    if (++request.asks < most && now + comeBack < request.arrived + routeOf(request).goal) {
-        m_returns.emplace(now + comeBack, std::move(request));
+    m_usageTally.refused(secondOf(now), request.customer);
+    const Duration retryAfter = m_pattern.retriesImmediately ? Duration(20ms) : std::get<Refusal>(decision).retryAfter;
+    const unsigned attemptLimit = m_pattern.retriesImmediately ? maxAttempts : 2;
+    if (++request.attempts < attemptLimit && now + retryAfter < request.arrived + routeOf(request).goal) {
+        m_retries.emplace(now + retryAfter, std::move(request));
         return;
     }
     countRefused(request);
@@ -234,28 +236,28 @@
 void DispatchWorld::serve(TimePoint now, unsigned router, const Request& request, const Placement& placement)
 {
     Engine& engine = m_engines.at(placement.target.id);
-    if (engine.isLost)
+    if (engine.hasFailed)
         return;
     const auto prefixes = prefixesOf(request.prompt.parts);
-    const std::uint32_t read = request.prompt.tokensIn - engine.kept.keptTokens(prefixes);
-    engine.kept.touch(prefixes);
-    m_outcome.tokensRead += read;
+    const std::uint32_t read = request.prompt.inputTokens - engine.prefixCache.cachedTokens(prefixes);
+    engine.prefixCache.touch(prefixes);
+    m_outcome.prefilledTokens += read;
     engine.busyUntil = std::max(engine.busyUntil, now)
         + Duration(static_cast<Duration::rep>(read / m_pattern.engineTokensPerMs * 1000));
-    const TimePoint first = engine.busyUntil + firstBase;
+    const TimePoint first = engine.busyUntil + firstEventOverhead;
     m_events.emplace(first, Event { request, router, placement.attempt, false });
     m_events.emplace(first + streamTime, Event { request, router, placement.attempt, true });
     const bool isOnTime = first - request.arrived <= routeOf(request).goal;
     m_outcome.onTime += isOnTime ? 1 : 0;
     m_outcome.late += isOnTime ? 0 : 1;
-    m_outcome.onTimeAfterLoss += isOnTime && isAfterLoss(request.arrived) ? 1 : 0;
-    m_outcome.smallOnTime += isOnTime && request.customer != "hot" ? 1 : 0;
+    m_outcome.onTimeAfterRestart += isOnTime && isAfterRestart(request.arrived) ? 1 : 0;
+    m_outcome.otherOnTime += isOnTime && request.customer != "hot" ? 1 : 0;
 }
 
-bool DispatchWorld::areSumsLost(TimePoint now) const
+bool DispatchWorld::areAggregatesLost(TimePoint now) const
 {
-    const TimePoint from = start + m_pattern.sumsLostFrom;
-    return now >= from && now < from + m_pattern.sumsLostFor;
+    const TimePoint from = start + m_pattern.aggregatesLostFrom;
+    return now >= from && now < from + m_pattern.aggregatesLostFor;
 }
 
 void DispatchWorld::report(TimePoint now)
@@ -281,22 +283,22 @@
 
 void DispatchWorld::reportByRelay(TimePoint now, std::vector<LoadReport> reports)
 {
-    m_underWay.push_back(std::move(reports));
-    if (m_underWay.size() <= m_pattern.sumsLateBy)
+    m_reportsInTransit.push_back(std::move(reports));
+    if (m_reportsInTransit.size() <= m_pattern.aggregateLag)
         return;
-    if (areSumsLost(now)) {
-        m_underWay.pop_front();
+    if (areAggregatesLost(now)) {
+        m_reportsInTransit.pop_front();
         return;
     }
     LoadReport sum;
-    for (const LoadReport& it : m_underWay.front())
+    for (const LoadReport& it : m_reportsInTransit.front())
         add(sum, it);
     for (std::size_t i = 0; i < m_routers.size(); ++i) {
         LoadReport others = sum;
-        subtract(others, m_underWay.front()[i]);
-        m_routers[i]->peerReported(now, sumOfOthers, others);
+        subtract(others, m_reportsInTransit.front()[i]);
+        m_routers[i]->peerReported(now, aggregateOfOthers, others);
     }
-    m_underWay.pop_front();
+    m_reportsInTransit.pop_front();
 }
 
 } // namespace sagechute::dispatch
--- a/tests/DispatchWorld.h
+++ b/tests/DispatchWorld.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// Several routers' dispatchers before emulated engines under a virtual clock: replays of loads, policy against policy.
+/// Simulation of several routers' dispatchers and emulated engines under a virtual clock, to compare policies under the
+/// same load.
 
 #include "ShareTally.h"
 
@@ -13,111 +14,115 @@
 
 namespace sagechute::dispatch {
 
-/// What is played.
+/// Simulated fleet, load and faults.
 struct LoadPattern {
     unsigned routers = 4;
     unsigned engines = 6;
     double requestsPerSecond = 36;
-    double burst = 1; ///< Times the usual from the second to the fourth second.
-    double hotCustomer = 0; ///< Share of all requests that come from one of ten customers.
-    double pinnedCustomer = 0; ///< Share of all requests that come from a customer whose callers all use one router.
-    double hotPrompt = 0; ///< Share of all requests that have the same shared part.
-    unsigned sharedParts = 40; ///< Prompts that requests share.
+    double burst = 1; ///< Factor on the request rate between 2 s and 4 s.
+    double hotCustomerFraction = 0; ///< Fraction of all requests that come from one of ten customers.
+    /// Fraction of all requests that come from a customer whose callers all use the same router.
+    double pinnedCustomerFraction = 0;
+    double hotPromptFraction = 0; ///< Fraction of all requests that have the same shared part.
+    unsigned sharedPromptCount = 40; ///< Number of different shared parts.
     std::uint64_t engineMemory = 400'000; ///< Tokens.
-    bool isRelayed = false; ///< A large fleet: routers are told sums of all reports, late, instead of each report.
-    unsigned sumsLateBy = 2; ///< Reports later than a sum's own, 60 ms each, it arrives over relays.
-    Duration sumsLostFrom {}; ///< From then on no sum arrives for a while; for this and the next.
-    Duration sumsLostFor {};
-    unsigned lostEngines = 0; ///< From the third second on they answer nothing, and are listed for 3.6 s more.
-    Duration routersLostAt {}; ///< All routers at once start anew, and know nothing of before; zero: never.
-    bool repeatsAtOnce = false; ///< A refused caller asks again after 20 ms, up to three times.
-    Duration lasts = std::chrono::seconds(8);
+    bool isRelayed = false; ///< A large fleet: routers get delayed aggregates of all reports instead of each report.
+    unsigned aggregateLag = 2; ///< Delay of aggregates over relays, in report intervals of 60 ms.
+    Duration aggregatesLostFrom {}; ///< Start of a period in which all aggregates are lost.
+    Duration aggregatesLostFor {}; ///< Length of that period.
+    unsigned failedEngines = 0; ///< Engines that answer nothing from 3 s on and stay listed for another 3.6 s.
+    Duration routersRestartAt {}; ///< All routers restart at once and lose their state; zero: never.
+    bool retriesImmediately = false; ///< A refused caller retries after 20 ms, up to three times.
+    Duration totalDuration = std::chrono::seconds(8);
     Duration goal = std::chrono::milliseconds(800);
 
-    /// What the configuration says that engines produce, as a multiple of what they read. With all shared parts kept
-    /// they have to read a part of each prompt only.
-    double toldCapacity = 2;
-    double engineTokensPerMs = 44; ///< What an engine reads.
-    std::uint32_t sharedTokens = 13'000; ///< Of the part of a prompt that requests share.
-    std::uint32_t ownLeast = 500; ///< Tokens of the part that a request has alone.
-    std::uint32_t ownMost = 7000;
+    /// Configured throughput as a multiple of the engines' prefill rate. It can be above 1, because with all shared
+    /// parts cached only a part of each prompt has to be prefilled.
+    double configuredCapacityFactor = 2;
+    double engineTokensPerMs = 44; ///< Prefill rate of an engine.
+    std::uint32_t sharedTokens = 13'000; ///< Tokens of the shared part of a prompt.
+    std::uint32_t minUnsharedTokens = 500; ///< Tokens of the part that is unique to a request.
+    std::uint32_t maxUnsharedTokens = 7000;
 
-    /// Part of the requests that are of a second kind: small, with a goal of its own.
-    double smallKind = 0;
+    /// Fraction of requests that are of a second kind: small, on a route with its own goal.
+    double smallKindFraction = 0;
     Duration smallGoal = std::chrono::milliseconds(250);
     std::uint32_t smallTokens = 800;
 };
 
-/// How requests are placed and turned away.
+/// Placement and admission policy.
 struct Policy {
-    bool isAdmitting = true; ///< False: everything is sent, first come first served.
-    bool isSharing = true; ///< False: no customer's use counts.
-    bool isAffine = true; ///< False: the least loaded engine, whatever it keeps.
+    bool hasAdmissionControl = true; ///< False: all requests are placed, first come first served.
+    bool hasFairShares = true; ///< False: the usage of customers is ignored.
+    bool hasCacheAffinity = true; ///< False: the least loaded engine is chosen, whatever it has cached.
     double homeWeight = DispatchSettings {}.homeWeight;
-    bool isTrusting = true; ///< False: routers that start amid running engines take these to keep nothing.
+    bool hasWarmStart = true; ///< False: routers that start amid running engines assume empty caches.
 };
 
-/// What callers saw.
+/// Request counts by result, as seen by callers.
 struct Outcome {
-    unsigned asked = 0;
+    unsigned requested = 0;
     unsigned onTime = 0;
     unsigned late = 0;
     unsigned refused = 0;
-    unsigned smallAsked = 0; ///< Of customers other than the hot one.
-    unsigned smallOnTime = 0;
-    std::uint64_t tokensRead = 0;
-    unsigned largeAsked = 0; ///< Of the tenth with the most tokens.
+    unsigned otherRequested = 0; ///< By customers other than the hot one.
+    unsigned otherOnTime = 0;
+    std::uint64_t prefilledTokens = 0;
+    unsigned largeRequested = 0; ///< Requests in the largest tenth by tokens.
     unsigned largeRefused = 0;
-    unsigned smallKindAsked = 0;
+    unsigned smallKindRequested = 0;
     unsigned smallKindRefused = 0;
-    unsigned askedAfterLoss = 0; ///< In the four seconds after the loss of all routers.
-    unsigned onTimeAfterLoss = 0;
+    unsigned requestedAfterRestart = 0; ///< In the four seconds after the restart of all routers.
+    unsigned onTimeAfterRestart = 0;
 
-    double onTimeShareAfterLoss() const
+    double onTimeShareAfterRestart() const
     {
-        return askedAfterLoss ? static_cast<double>(onTimeAfterLoss) / askedAfterLoss : 0;
+        return requestedAfterRestart ? static_cast<double>(onTimeAfterRestart) / requestedAfterRestart : 0;
     }
-    double servedShare() const { return asked ? 1 - static_cast<double>(refused) / asked : 0; }
+    double servedShare() const { return requested ? 1 - static_cast<double>(refused) / requested : 0; }
     double smallKindServedShare() const
     {
-        return smallKindAsked ? 1 - static_cast<double>(smallKindRefused) / smallKindAsked : 0;
+        return smallKindRequested ? 1 - static_cast<double>(smallKindRefused) / smallKindRequested : 0;
     }
     double mainKindServedShare() const
     {
-        const unsigned n = asked - smallKindAsked;
+        const unsigned n = requested - smallKindRequested;
         return n ? 1 - static_cast<double>(refused - smallKindRefused) / n : 0;
     }
-    double largeServedShare() const { return largeAsked ? 1 - static_cast<double>(largeRefused) / largeAsked : 0; }
-    double onTimeShare() const { return asked ? static_cast<double>(onTime) / asked : 0; }
-    double smallShare() const { return smallAsked ? static_cast<double>(smallOnTime) / smallAsked : 0; }
+    double largeServedShare() const
+    {
+        return largeRequested ? 1 - static_cast<double>(largeRefused) / largeRequested : 0;
+    }
+    double onTimeShare() const { return requested ? static_cast<double>(onTime) / requested : 0; }
+    double otherOnTimeShare() const { return otherRequested ? static_cast<double>(otherOnTime) / otherRequested : 0; }
 };
 
-/// Adds the counts of another play.
+/// Adds the counts of another run.
 void add(Outcome& sum, const Outcome&);
 
-/// Plays a pattern with a policy; the same seed gives the same requests under every policy.
+/// Simulates a load pattern with a policy. The same seed gives the same requests under every policy.
 class DispatchWorld {
 public:
     DispatchWorld(const LoadPattern&, const Policy&, std::uint64_t seed);
 
-    Outcome play();
+    Outcome run();
 
-    /// @return who got how much in each second.
-    const ShareTally& tally() const { return m_tally; }
+    /// @return usage of each customer per second.
+    const ShareTally& usageTally() const { return m_usageTally; }
 
 private:
     struct Engine {
         TargetId id;
         TimePoint busyUntil;
-        PrefixMemory kept;
-        bool isLost = false;
+        PrefixMemory prefixCache;
+        bool hasFailed = false;
     };
 
     struct Request {
         std::string customer;
         PromptSize prompt;
         TimePoint arrived;
-        unsigned asks = 0;
+        unsigned attempts = 0;
         bool isLarge = false;
         bool isSmallKind = false;
     };
@@ -129,20 +134,20 @@
         bool isEnd = false;
     };
 
-    Request draw(TimePoint now);
+    Request generateRequest(TimePoint now);
     const Route& routeOf(const Request&) const;
     void countRefused(const Request&);
     unsigned chooseRouter(const Request&);
-    bool areSumsLost(TimePoint now) const;
-    void ask(TimePoint now, Request);
+    bool areAggregatesLost(TimePoint now) const;
+    void submit(TimePoint now, Request);
     void serve(TimePoint now, unsigned router, const Request&, const Placement&);
     void report(TimePoint now);
     void reportToAll(TimePoint now, const std::vector<LoadReport>&);
     void reportByRelay(TimePoint now, std::vector<LoadReport>);
-    void loseEngines(TimePoint now);
-    void makeRouters(TimePoint now, Duration homesTrusted);
-    void loseRouters(TimePoint now);
-    bool isAfterLoss(TimePoint) const;
+    void failEngines(TimePoint now);
+    void makeRouters(TimePoint now, Duration warmStartDuration);
+    void restartRouters(TimePoint now);
+    bool isAfterRestart(TimePoint) const;
 
     const LoadPattern m_pattern;
     const Policy m_policy;
@@ -152,12 +157,12 @@
     std::vector<std::unique_ptr<Dispatcher>> m_routers;
     std::map<TargetId, Engine> m_engines;
     std::multimap<TimePoint, Event> m_events;
-    std::multimap<TimePoint, Request> m_returns;
-    std::deque<std::vector<LoadReport>> m_underWay; ///< Reports whose sums have not been told yet.
-    std::uint64_t m_ownPart = 1'000'000;
-    bool m_areRoutersLost = false;
+    std::multimap<TimePoint, Request> m_retries;
+    std::deque<std::vector<LoadReport>> m_reportsInTransit; ///< Reports whose aggregate has not been delivered yet.
+    std::uint64_t m_lastPartId = 1'000'000;
+    bool m_haveRoutersRestarted = false;
     Outcome m_outcome;
-    ShareTally m_tally;
+    ShareTally m_usageTally;
 };
 
 } // namespace sagechute::dispatch
--- a/tests/PlatformTest.cpp
+++ b/tests/PlatformTest.cpp
@@ -142,7 +142,7 @@
         RC_ASSERT(document.at("state") == "ready" || document.at("state") == "draining");
         RC_ASSERT(target->draining == (document.at("state") == "draining"));
         RC_ASSERT(target->slots <= 1'000'000U);
-        RC_ASSERT(target->born >= 0);
+        RC_ASSERT(target->startedAtMs >= 0);
     });
     for (const char* field : { "service", "address", "zone", "state" }) {
         nlohmann::json document = validEntry();
@@ -166,10 +166,10 @@
 
 TEST_CASE("an entry tells its life apart by its start; without one it is the life that is known")
 {
-    CHECK(platform::decodeTarget({ "t" }, validEntry().dump())->born == 1764720000000);
+    CHECK(platform::decodeTarget({ "t" }, validEntry().dump())->startedAtMs == 1764720000000);
     nlohmann::json document = validEntry();
     document.erase("born");
-    CHECK(platform::decodeTarget({ "t" }, document.dump())->born == 0);
+    CHECK(platform::decodeTarget({ "t" }, document.dump())->startedAtMs == 0);
 }
 
 TEST_CASE("a spoiled configuration is refused, or holds numbers within their bounds")
@@ -214,8 +214,8 @@
     CHECK(facts->id == "9c41");
     CHECK(facts->key == "k1");
     CHECK(facts->deadline == Duration(12s));
-    CHECK(facts->prompt.tokensIn == 1460);
-    CHECK(facts->prompt.tokensOut == 80);
+    CHECK(facts->prompt.inputTokens == 1460);
+    CHECK(facts->prompt.maxOutputTokens == 80);
     REQUIRE(facts->prompt.parts.size() == 2);
     CHECK(facts->prompt.parts.front().id == 0x5c1e07a2);
     CHECK(facts->prompt.parts.front().tokens == 800);
--- a/tests/RelayFlowTest.cpp
+++ b/tests/RelayFlowTest.cpp
@@ -44,7 +44,7 @@
 NextStep ignoresTheBoundOfRuns(const AttemptFacts& facts)
 {
     AttemptFacts unbounded = facts;
-    unbounded.attemptsMost = 100;
+    unbounded.maxAttempts = 100;
     return dispatch::nextStep(unbounded);
 }
 
@@ -113,7 +113,7 @@
 
 /// A port that counts.
 struct CountingPort final : FlowPort {
-    dispatch::Decision place(TimePoint, const dispatch::Demand&, dispatch::Round round) override
+    dispatch::Decision place(TimePoint, const dispatch::PlacementRequest&, dispatch::AttemptKind round) override
     {
         rounds.push_back(round);
         return placement;
@@ -124,7 +124,7 @@
         ends.push_back(end);
         answerEnds.push_back(how);
     }
-    void targetSaid(TimePoint, const dispatch::TargetLife& life, const dispatch::TargetSignals& signals) override
+    void targetSaid(TimePoint, const dispatch::TargetIncarnation& life, const dispatch::TargetSignals& signals) override
     {
         said.emplace_back(life, signals);
     }
@@ -144,11 +144,11 @@
 
     dispatch::Placement placement { 1, { { "t" }, { "s" }, "127.0.0.1:1", { "z" }, 8, false }, 0, 50ms };
     dispatch::Refusal lastRefusal;
-    std::vector<dispatch::Round> rounds;
+    std::vector<dispatch::AttemptKind> rounds;
     std::vector<AttemptOrder> orders;
     std::vector<AttemptEnd> ends;
     std::vector<AnswerEnd> answerEnds;
-    std::vector<std::pair<dispatch::TargetLife, dispatch::TargetSignals>> said;
+    std::vector<std::pair<dispatch::TargetIncarnation, dispatch::TargetSignals>> said;
     unsigned cancels = 0;
     unsigned aborts = 0;
     unsigned finishes = 0;
@@ -241,7 +241,7 @@
     head.signals.isDraining = true;
     flow.head(start + 20ms, 1, head);
     REQUIRE(port.said.size() == 1);
-    CHECK(port.said.front().first == dispatch::TargetLife { { "t" } });
+    CHECK(port.said.front().first == dispatch::TargetIncarnation { { "t" } });
     CHECK(port.said.front().second.isDraining);
 }
 
@@ -269,7 +269,7 @@
     flow.withdrawn(start + 5ms, 1);
     CHECK(port.ends == std::vector { AttemptEnd::Withdrawn });
     CHECK(port.orders.size() == 2);
-    CHECK(port.rounds == std::vector { dispatch::Round::First, dispatch::Round::AfterNothing });
+    CHECK(port.rounds == std::vector { dispatch::AttemptKind::First, dispatch::AttemptKind::RetryUnsent });
     // Its transfer ends after that, and means nothing.
     flow.ended(start + 6ms, 1, net::TransferEnd::NothingSent);
     CHECK(port.orders.size() == 2);
@@ -283,7 +283,7 @@
     port.lastRefusal = { dispatch::RefusalReason::Backoff, 2s, {} };
     RequestFlow flow(port, factsOf(route));
     flow.begin(start);
-    for (unsigned number = 1; number <= dispatch::mostTries; ++number) {
+    for (unsigned number = 1; number <= dispatch::maxTries; ++number) {
         flow.head(start + 5ms, number, { 503, "id", true, false, false, {} });
         flow.ended(start + 5ms, number, net::TransferEnd::Completed);
     }
--- a/tests/ReportsTest.cpp
+++ b/tests/ReportsTest.cpp
@@ -90,11 +90,11 @@
     desk.memberReported(start, { "b" }, two);
     desk.zoneReported(start, { "far" }, one);
     const dispatch::LoadReport zone = desk.zoneSum(start);
-    CHECK(zone.targets.at(1).tokensToRead == 30);
+    CHECK(zone.targets.at(1).prefillTokens == 30);
     const dispatch::LoadReport all = desk.sum(start, zone);
-    CHECK(all.targets.at(1).tokensToRead == 40);
+    CHECK(all.targets.at(1).prefillTokens == 40);
     CHECK(all.placed.at(1).shared.size() == 2);
-    CHECK(all.placed.at(1).ownTokens == 300);
+    CHECK(all.placed.at(1).unsharedTokens == 300);
     CHECK(desk.includedSerial(start, { "a" }) == 4);
     CHECK(desk.includedSerial(start, { "b" }) == 9);
     CHECK(desk.includedSerial(start, { "unheard" }) == 0);
@@ -104,7 +104,7 @@
     ownReports.sent(one);
     dispatch::LoadReport forA = all;
     REQUIRE(ownReports.takeOff(forA, 4));
-    CHECK(forA.targets.at(1).tokensToRead == 30);
+    CHECK(forA.targets.at(1).prefillTokens == 30);
     CHECK(forA.customers.at({ "c" }).granted == 8);
 
     desk.passedOn();
@@ -149,7 +149,7 @@
     dispatch::LoadReport sum;
     sum.targets[1] = { 10, 1, 100 };
     CHECK(ownReports.takeOff(sum, 0));
-    CHECK(sum.targets.at(1).tokensToRead == 10);
+    CHECK(sum.targets.at(1).prefillTokens == 10);
     CHECK_FALSE(ownReports.takeOff(sum, 5));
     dispatch::LoadReport own = sum;
     for (own.serial = 1; own.serial <= 100; ++own.serial)
--- a/tests/ShareTally.h
+++ b/tests/ShareTally.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What customers asked for and got, second by second, and how unequal that is.
+/// Requested and served tokens per customer and second, with a measure of unfairness.
 
 #include <sagechute/Core.h>
 
@@ -14,27 +14,28 @@
 /// Tokens by customer and second.
 class ShareTally {
 public:
-    void asked(std::size_t second, const std::string& customer, double tokens);
+    void requested(std::size_t second, const std::string& customer, double tokens);
     void refused(std::size_t second, const std::string& customer);
-    void began(std::size_t second, const std::string& customer, double tokens);
+    void started(std::size_t second, const std::string& customer, double tokens);
 
-    /// The largest, over all spans of six seconds and all customers that are turned away in each second of one, of what
-    /// the customer could have had by the measure of the one that got most, as a multiple of what it got. Three of the
-    /// largest requests are left to chance. Two or more breaks the operators' rule.
-    /// @param from second from which spans begin. @param to second at which the last one ends.
+    /// Worst unfairness over all windows of six seconds and all customers that have requests refused in each second of
+    /// the window: what the customer could have had if it were served like the best-served one, as a multiple of what
+    /// it got. A difference of three of the largest requests is tolerated as noise. A ratio of 2 or more violates the
+    /// fairness rule of the operators.
+    /// @param from second at which the first window begins. @param to second at which the last one ends.
     double worstRatio(std::size_t from, std::size_t to) const;
 
-    /// @return what the customer got in [from, to).
-    double got(const std::string& customer, std::size_t from, std::size_t to) const;
+    /// @return tokens served to the customer in [from, to).
+    double servedTokens(const std::string& customer, std::size_t from, std::size_t to) const;
 
 private:
     struct Second {
-        double asked = 0;
-        double got = 0;
+        double requested = 0;
+        double servedTokens = 0;
         bool isRefused = false;
     };
 
-    static constexpr std::size_t span = 6; ///< Seconds.
+    static constexpr std::size_t windowSeconds = 6; ///< Seconds.
 
     Second& at(std::size_t second, const std::string& customer);
     double ratio(const std::vector<Second>& self, const std::vector<Second>& best, std::size_t from) const;
--- a/tests/TargetRosterTest.cpp
+++ b/tests/TargetRosterTest.cpp
@@ -13,9 +13,9 @@
 
 constexpr TimePoint start { 100s };
 
-TargetChange entry(const std::string& id, bool draining = false, std::int64_t born = 0, LogOffset offset = 0)
+TargetChange entry(const std::string& id, bool draining = false, std::int64_t startedAtMs = 0, LogOffset offset = 0)
 {
-    return { { id }, dispatch::Target { { id }, { "s" }, "127.0.0.1:1", { "a" }, 4, draining, born }, offset };
+    return { { id }, dispatch::Target { { id }, { "s" }, "127.0.0.1:1", { "a" }, 4, draining, startedAtMs }, offset };
 }
 
 TargetChange gone(const std::string& id, LogOffset offset = 0) { return { { id }, std::nullopt, offset }; }
@@ -40,14 +40,14 @@
     roster.apply(start + 1s, entry("t", false, 2000));
     REQUIRE(roster.targets().size() == 1);
     CHECK_FALSE(roster.targets().front().draining);
-    CHECK(roster.targets().front().born == 2000);
+    CHECK(roster.targets().front().startedAtMs == 2000);
     SECTION("a late entry")
     {
         const std::uint64_t revision = roster.revision();
         roster.apply(start + 2s, entry("t", true, 1000));
         roster.applyAll(start + 2s, { entry("t", false, 1000), entry("t", true, 1000) });
         CHECK_FALSE(roster.targets().front().draining);
-        CHECK(roster.targets().front().born == 2000);
+        CHECK(roster.targets().front().startedAtMs == 2000);
         CHECK(roster.revision() == revision);
     }
     SECTION("a whole list from a router that knows the earlier life")
@@ -56,7 +56,7 @@
         roster.replace(start + 2s, { entry("t", false, 1000) }, 1);
         CHECK_FALSE(roster.expire(start + 5s));
         REQUIRE(roster.size() == 1);
-        CHECK(roster.targets().front().born == 2000);
+        CHECK(roster.targets().front().startedAtMs == 2000);
         CHECK_FALSE(roster.targets().front().draining);
     }
     SECTION("an entry of the earlier life after the newer one has gone")
@@ -70,7 +70,7 @@
     SECTION("reordered in one read")
     {
         roster.applyAll(start + 2s, { entry("t", false, 4000), entry("t", true, 3000), entry("t", true, 2000) });
-        CHECK(roster.targets().front().born == 4000);
+        CHECK(roster.targets().front().startedAtMs == 4000);
         CHECK_FALSE(roster.targets().front().draining);
     }
 }
@@ -98,9 +98,9 @@
         const int steps = *rc::gen::inRange(1, 30);
         for (int i = 0; i < steps; ++i) {
             now += 100ms;
-            const auto born = *rc::gen::inRange<std::int64_t>(1, 5);
+            const auto startedAtMs = *rc::gen::inRange<std::int64_t>(1, 5);
             const bool drains = *rc::gen::arbitrary<bool>();
-            const TargetChange told = entry("t", drains, born);
+            const TargetChange told = entry("t", drains, startedAtMs);
             switch (*rc::gen::inRange(0, 4)) {
             case 0:
                 roster.apply(now, told);
@@ -115,11 +115,11 @@
                 roster.applyAll(now, { told });
                 break;
             }
-            newest = std::max(newest, born);
-            if (drains && born == newest)
-                leaving.insert(born);
+            newest = std::max(newest, startedAtMs);
+            if (drains && startedAtMs == newest)
+                leaving.insert(startedAtMs);
             RC_ASSERT(roster.size() == 1U);
-            RC_ASSERT(roster.targets().front().born == newest);
+            RC_ASSERT(roster.targets().front().startedAtMs == newest);
             RC_ASSERT(roster.targets().front().draining == leaving.contains(newest));
         }
     });
