--- a/src/edge/ReportPlan.cpp
+++ b/src/edge/ReportPlan.cpp
@@ -71,7 +71,7 @@
     for (const auto& [target, placed] : timedReport.report.placed) {
         dispatch::PlacedPrompts& told = report.placed[target];
         told.shared.insert(placed.shared.begin(), placed.shared.end());
-        told.ownTokens += placed.ownTokens;
+        told.unsharedTokens += placed.unsharedTokens;
     }
     timedReport = { std::move(report), now };
 }
