--- a/tests/PlatformTest.cpp
+++ b/tests/PlatformTest.cpp
@@ -1,4 +1,4 @@
-// The adapter to the users' platform: platform/.
+// Tests the adapter to the users' platform in platform/.
 
 #include "Platform.h"
 #include "CrashRecords.h"
@@ -72,7 +72,7 @@
     CHECK(config->customers.front().keys.size() == 2);
 }
 
-TEST_CASE("a document of another form is an error, never a crash")
+TEST_CASE("a malformed document is an error, never a crash")
 {
     CHECK_FALSE(platform::decodeConfig("").ok());
     CHECK_FALSE(platform::decodeConfig("[]").ok());
@@ -93,7 +93,7 @@
         { "state", "ready" }, { "coldLeftMs", 0 }, { "seq", 4 }, { "born", 1764720000000 } };
 }
 
-/// Any value that another writer may put where something else is expected.
+/// Values of unexpected types and sizes that another program may write.
 rc::Gen<nlohmann::json> anyValue()
 {
     return rc::gen::element<nlohmann::json>(nullptr, true, -1, 0, 1, 1e300, -2.5, 18446744073709551615ULL, "", "x",
@@ -101,24 +101,24 @@
         nlohmann::json::array({ 1, "a" }), nlohmann::json { { "service", "s" } });
 }
 
-/// Replaces, drops or adds some fields of an object, or of one inside it.
-void spoil(nlohmann::json& document)
+/// Replaces or removes up to three randomly chosen fields or elements, at any depth.
+void mutate(nlohmann::json& document)
 {
     const int changes = *rc::gen::inRange(1, 4);
     for (int i = 0; i < changes; ++i) {
-        nlohmann::json* place = &document;
-        while (place->is_structured() && !place->empty()) {
-            auto it = place->begin();
-            std::advance(it, *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(place->size())));
-            const bool goesIn = it->is_structured() && *rc::gen::arbitrary<bool>();
-            if (goesIn) {
-                place = &*it;
+        nlohmann::json* node = &document;
+        while (node->is_structured() && !node->empty()) {
+            auto it = node->begin();
+            std::advance(it, *rc::gen::inRange<std::ptrdiff_t>(0, static_cast<std::ptrdiff_t>(node->size())));
+            const bool descends = it->is_structured() && *rc::gen::arbitrary<bool>();
+            if (descends) {
+                node = &*it;
                 continue;
             }
             if (*rc::gen::arbitrary<bool>())
                 *it = *anyValue();
             else
-                place->erase(it);
+                node->erase(it);
             break;
         }
     }
@@ -126,14 +126,14 @@
 
 } // namespace
 
-// Symptom: requests go to nowhere, or a router refuses every later configuration.
-// Sequence: another writer's entry has a field missing or of another type; a negative number is read as the largest of
-// all. Cause: whatever could be converted was taken.
-TEST_CASE("a spoiled entry names no target, or one whose every field is as the platform's pages say")
+// Guards against requests that are sent to invalid addresses, and routers that reject every later configuration. Both
+// happened when fields that another program had omitted or written with another type were converted where possible: a
+// negative number became the largest unsigned value.
+TEST_CASE("a mutated target entry is rejected, or all its fields conform to the platform's specification")
 {
-    rc::prop("any change of some fields", [] {
+    rc::prop("any mutation of some fields", [] {
         nlohmann::json document = validEntry();
-        spoil(document);
+        mutate(document);
         const auto target = platform::decodeTarget({ "t" }, document.dump());
         if (!target.ok())
             return;
@@ -157,14 +157,14 @@
     }
 }
 
-TEST_CASE("a key that can't stand in a header names no target")
+TEST_CASE("an entry whose key is not a valid header value is rejected")
 {
     for (const std::string& key :
         { std::string(), std::string("a b"), std::string("a\r\nX: y"), std::string("\xFF\xFE"), std::string(300, 'k') })
         CHECK_FALSE(platform::decodeTarget({ key }, validEntry().dump()).ok());
 }
 
-TEST_CASE("an entry tells its life apart by its start; without one it is the life that is known")
+TEST_CASE("a target's start time is decoded; a missing one is zero and means the known incarnation")
 {
     CHECK(platform::decodeTarget({ "t" }, validEntry().dump())->born == 1764720000000);
     nlohmann::json document = validEntry();
@@ -172,11 +172,11 @@
     CHECK(platform::decodeTarget({ "t" }, document.dump())->born == 0);
 }
 
-TEST_CASE("a spoiled configuration is refused, or holds numbers within their bounds")
+TEST_CASE("a mutated configuration is rejected, or its numbers are within bounds")
 {
-    rc::prop("any change of some fields", [] {
+    rc::prop("any mutation of some fields", [] {
         nlohmann::json document = nlohmann::json::parse(configDocument);
-        spoil(document);
+        mutate(document);
         const std::string text = document.dump();
         const auto config = platform::decodeConfig(text);
         if (!config.ok())
@@ -221,7 +221,7 @@
     CHECK(facts->prompt.parts.front().tokens == 800);
 }
 
-TEST_CASE("a deadline that can't be read is refused; a prompt that can't be read is not")
+TEST_CASE("a malformed deadline is rejected; a malformed prompt description is ignored")
 {
     net::ServerRequest request = callerRequest();
     request.headers = { { "X-Sagechute-Deadline-Ms", "soon" } };
@@ -232,10 +232,9 @@
     CHECK(facts->prompt.parts.empty());
 }
 
-// Symptom: a caller acts for another customer, or steers an engine's memory.
-// Sequence: it sends the headers that the system sets itself.
-// Cause: they were passed on beside, or in place of, the system's own.
-TEST_CASE("headers that are the system's to set are replaced, those of one connection are left out")
+// Guards against callers that act for another customer or control an engine's cache by sending headers reserved for the
+// system, which were forwarded in addition to, or instead of, the system's own.
+TEST_CASE("reserved headers are replaced or removed, and hop-by-hop headers are removed")
 {
     const net::ServerRequest request = callerRequest();
     const dispatch::Target target { { "i-1" }, { "s" }, "10.1.0.9:8080", { "z" }, 64, false };
@@ -255,7 +254,7 @@
         CHECK(countOf(sent, name) == 0);
 }
 
-TEST_CASE("on a public route no customer is named, and a resumed stream says where to go on")
+TEST_CASE("a public route sends no customer, and a resumed stream sends the last event id")
 {
     net::ServerRequest request = callerRequest();
     request.headers.push_back({ "Last-Event-Id", "1" });
@@ -266,7 +265,7 @@
     CHECK(net::findField(sent.headers, "Last-Event-Id") == std::string_view("7"));
 }
 
-TEST_CASE("the head of an answer says whether the request has run")
+TEST_CASE("the head of a response tells whether the request was executed")
 {
     const auto protocol = platform::makeTargetProtocol();
     CHECK(protocol->decodeHead(503, { { "X-Sagechute-Not-Executed", "1" } }).hasNotRun);
@@ -281,7 +280,7 @@
     CHECK(head.relayed.size() == 3);
 }
 
-TEST_CASE("an answer is a stream of events unless it says that it is something else")
+TEST_CASE("a response is an event stream unless its content type says otherwise")
 {
     const auto protocol = platform::makeTargetProtocol();
     CHECK(protocol->decodeHead(200, {}).isEventStream);
@@ -290,7 +289,7 @@
     CHECK(protocol->decodeHead(200, { { "Content-Type", "" } }).isEventStream);
 }
 
-TEST_CASE("the head of any answer tells what the target says of itself")
+TEST_CASE("drain and back-off signals are decoded from the head of any response")
 {
     const auto protocol = platform::makeTargetProtocol();
     const auto signalsOf = [&](int status, const std::vector<net::Field>& fields) {
@@ -308,14 +307,14 @@
     CHECK_FALSE(signalsOf(429, { { "Retry-After", "3" } }).backoff);
 }
 
-TEST_CASE("another target at the address says nothing of the one that was meant")
+TEST_CASE("a response from another target at the address carries no signals for the intended one")
 {
     const auto head
         = platform::makeTargetProtocol()->decodeHead(421, { { "Server-Leaving", "1" }, { "Retry-After", "3" } });
     CHECK_FALSE(head.signals.any());
 }
 
-TEST_CASE("a time that is no number of seconds asks for nothing, and an absurd one is bounded")
+TEST_CASE("a Retry-After that is not a valid number of seconds is ignored, and an excessive one is clamped")
 {
     const auto protocol = platform::makeTargetProtocol();
     const auto backoffOf = [&](const char* text) {
@@ -327,7 +326,7 @@
         CHECK(backoffOf(text) == Duration(24h));
 }
 
-TEST_CASE("a refusal says in fractions of a second when to come back")
+TEST_CASE("a refusal sends Retry-After in fractional seconds")
 {
     const auto refusal = platform::makeCallerProtocol()->refusal(503, "overloaded", Duration(250ms));
     CHECK(refusal.status == 503);
@@ -335,7 +334,7 @@
     CHECK_FALSE(net::findField(platform::makeCallerProtocol()->refusal(502, "x", std::nullopt).headers, "Retry-After"));
 }
 
-TEST_CASE("requests that crash targets are read as they were written, and records of another form are left out")
+TEST_CASE("crash records survive an encoding round trip, and malformed records are ignored")
 {
     const quarantine::CrashRecord end { 7, 11, false };
     const quarantine::CrashRecord cleared { 8, 12, true };
