--- a/apps/sagechute-edge/CrashMonitor.cpp
+++ b/apps/sagechute-edge/CrashMonitor.cpp
@@ -64,16 +64,16 @@
 void CrashMonitor::tick(TimePoint now)
 {
     std::vector<quarantine::TargetCheck> checks;
-    quarantine::CrashNews events;
+    quarantine::QuarantineUpdate events;
     m_state.withDispatcher([&](dispatch::Dispatcher& it) {
         checks = it.crashes().checksDue(now);
-        events = it.crashes().takeNews();
+        events = it.crashes().takeUpdate();
     });
     for (const quarantine::TargetCheck& it : checks)
         probe(it);
     report(events);
-    if (!events.own.empty())
-        m_journal.write(events.own);
+    if (!events.ownRecords.empty())
+        m_journal.write(events.ownRecords);
 }
 
 void CrashMonitor::probe(const quarantine::TargetCheck& check)
@@ -94,9 +94,9 @@
     return std::to_string(key);
 }
 
-void CrashMonitor::report(const quarantine::CrashNews& events)
+void CrashMonitor::report(const quarantine::QuarantineUpdate& events)
 {
-    for (const quarantine::TargetEnd& it : events.ends) {
+    for (const quarantine::TargetExit& it : events.targetExits) {
         m_metrics.recordTargetEnd(it.evidence);
         process::log(process::LogLevel::Warning, "target-ended",
             { { "target", targetName(it.target) }, { "evidence", std::string(toString(it.evidence)) },
--- a/apps/sagechute-edge/CrashMonitor.h
+++ b/apps/sagechute-edge/CrashMonitor.h
@@ -22,7 +22,7 @@
 
 private:
     void probe(const quarantine::TargetCheck&);
-    void report(const quarantine::CrashNews&);
+    void report(const quarantine::QuarantineUpdate&);
 
     /// @return the target's name, or its key when it is no longer in the list of targets.
     std::string targetName(quarantine::TargetKey) const;
--- a/apps/sagechute-edge/EdgeMetrics.cpp
+++ b/apps/sagechute-edge/EdgeMetrics.cpp
@@ -103,18 +103,18 @@
     m_knowledgeAgeRatio.Observe(seconds(age) / seconds(bound));
 }
 
-void EdgeMetrics::recordShares(const dispatch::SharesView& view)
+void EdgeMetrics::recordShares(const dispatch::FairShareSnapshot& view)
 {
     double granted = 0;
     for (const auto& [id, use] : view.customers)
         granted += use.granted;
     m_shareLevel.Set(view.level);
     m_grantedTokens.Set(granted);
-    if (view.sumsAge)
-        m_sumsAge.Observe(seconds(*view.sumsAge));
+    if (view.oldestReportAge)
+        m_sumsAge.Observe(seconds(*view.oldestReportAge));
 }
 
-void EdgeMetrics::recordTargetEnd(quarantine::EndEvidence evidence)
+void EdgeMetrics::recordTargetEnd(quarantine::ExitEvidence evidence)
 {
     m_targetEnds.Add({ { "evidence", std::string(toString(evidence)) } }).Increment();
 }
@@ -136,12 +136,12 @@
     m_attempts.Add({ { "end", std::string(toString(end)) } }).Increment();
 }
 
-void EdgeMetrics::recordAnswerEnd(const relay::AnswerEnd& end)
+void EdgeMetrics::recordAnswerEnd(const relay::ResponseEnd& end)
 {
     const bool isClosed = end.transfer == net::TransferEnd::Closed;
-    if (isClosed || end.cutBytes)
+    if (isClosed || end.truncatedBytes)
         m_unframedAnswers
-            .Add({ { "framing", isClosed ? "connection" : "announced" }, { "cut", end.cutBytes ? "yes" : "no" } })
+            .Add({ { "framing", isClosed ? "connection" : "announced" }, { "cut", end.truncatedBytes ? "yes" : "no" } })
             .Increment();
 }
 
--- a/apps/sagechute-edge/EdgeMetrics.h
+++ b/apps/sagechute-edge/EdgeMetrics.h
@@ -19,17 +19,17 @@
     void recordAttempt(dispatch::AttemptEnd);
 
     /// Counts responses that were delimited only by the connection's close, and streams cut inside an event.
-    void recordAnswerEnd(const relay::AnswerEnd&);
+    void recordAnswerEnd(const relay::ResponseEnd&);
     void recordTargetSignals(const dispatch::TargetSignals&);
     void recordRefusal(dispatch::RefusalReason);
-    void recordTargetEnd(quarantine::EndEvidence);
+    void recordTargetEnd(quarantine::ExitEvidence);
     prometheus::Gauge& quarantinedRequests() { return m_quarantinedRequests; }
 
     prometheus::Counter& storeCalls() { return m_storeCalls; }
     prometheus::Counter& unreadableRecords() { return m_unreadableRecords; }
 
     /// Records customers' shares of the engines as this router sees them.
-    void recordShares(const dispatch::SharesView&);
+    void recordShares(const dispatch::FairShareSnapshot&);
 
     /// @param age time since when changes in the store may be unknown here. @param bound the largest permitted age.
     void recordKnowledgeAge(Duration age, Duration bound);
--- a/apps/sagechute-edge/EdgeState.cpp
+++ b/apps/sagechute-edge/EdgeState.cpp
@@ -71,7 +71,7 @@
 }
 
 dispatch::TargetSignals EdgeState::applyTargetSignals(
-    TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
+    TimePoint now, const dispatch::TargetIncarnation& target, const dispatch::TargetSignals& signals)
 {
     dispatch::TargetSignals unknown;
     std::lock_guard lock(m_mutex);
--- a/apps/sagechute-edge/EdgeState.h
+++ b/apps/sagechute-edge/EdgeState.h
@@ -43,7 +43,7 @@
 
     /// Applies signals that a target sent about itself. @return those that were not known before.
     dispatch::TargetSignals applyTargetSignals(
-        TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&);
+        TimePoint now, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&);
 
     /// Calls @p use with the list of targets.
     template <typename Use> auto withTargets(Use&& use) const
@@ -78,9 +78,11 @@
     std::atomic<std::uint64_t> requestsAccepted { 0 }; ///< For RouterWork, like the next two.
     std::atomic<std::uint64_t> requestsShed { 0 };
     std::atomic<std::uint64_t> chunksRelayed { 0 };
-    std::atomic<bool> isCrowded { false }; ///< Callers are asked to close their connections; see CrowdMeter.
-    std::atomic<std::uint32_t> usePercent { 0 }; ///< See RouterUse.
-    bool shouldCloseConnections() const { return isStopping || isCrowded; }
+    std::atomic<bool> shouldShedConnections {
+        false
+    }; ///< Callers are asked to close their connections; see AdaptiveRateLimiter.
+    std::atomic<std::uint32_t> utilizationPercent { 0 }; ///< See RouterUtilization.
+    bool shouldCloseConnections() const { return isStopping || shouldShedConnections; }
     /// When this router's own last read of each topic was answered, on the clock of unsuspendedNow(); zero: never.
     std::atomic<TimePoint> configReadAt { TimePoint {} };
     std::atomic<TimePoint> targetsReadAt { TimePoint {} };
--- a/apps/sagechute-edge/Fleet.cpp
+++ b/apps/sagechute-edge/Fleet.cpp
@@ -27,9 +27,9 @@
     /// Name under which the dispatcher stores a relay's aggregate report on all other routers.
     const VmId aggregateSource { "others" };
 
-    /// Four heartbeats within heartbeatKept, so that a router stays in lookup answers when three datagrams in a row are
-    /// lost.
-    constexpr Duration idleInterval = heartbeatKept / 4;
+    /// Four heartbeats within heartbeatTimeout, so that a router stays in lookup answers when three datagrams in a row
+    /// are lost.
+    constexpr Duration idleInterval = heartbeatTimeout / 4;
 
     /// The lower bits of an incarnation are random, so that two incarnations differ even if a clock that was set back
     /// gives them the same millisecond.
@@ -165,22 +165,23 @@
 Heartbeat Fleet::makeHeartbeat(HeartbeatScope scope) const
 {
     return { { { m_options.vm }, m_incarnation, m_options.callersListen, m_options.controlListen, { m_options.zone },
-                 m_state.canServe(), m_state.knowledgeForPeers(), m_options.capacity(), m_state.usePercent, scope },
+                 m_state.canServe(), m_state.knowledgeForPeers(), m_options.capacity(), m_state.utilizationPercent,
+                 scope },
         {}, {}, {}, 0 };
 }
 
-std::string Fleet::encodeReport(HeartbeatScope scope, FleetUse use, const dispatch::LoadReport& load) const
+std::string Fleet::encodeReport(HeartbeatScope scope, FleetUtilization use, const dispatch::LoadReport& load) const
 {
     Heartbeat message = makeHeartbeat(scope);
     message.use = std::move(use);
     message.load = encode(load);
     message.sentAt = unsuspendedNow();
-    return encodeShared(message);
+    return encodeCommonPart(message);
 }
 
 void Fleet::sendHeartbeat(const RouterAddress& to, std::uint64_t includedSerial, std::string_view shared)
 {
-    m_socket->send(to.gossipAddress, heartbeatTag + addressed(includedSerial, shared));
+    m_socket->send(to.gossipAddress, heartbeatTag + withIncludedSerial(includedSerial, shared));
 }
 
 void Fleet::sendOwnReport(TimePoint now)
@@ -202,7 +203,7 @@
 
 void Fleet::sendAggregateReports(TimePoint now, const dispatch::LoadReport& own)
 {
-    m_relayReports.memberReported(now, { m_options.vm }, own);
+    m_relayReports.setRouterReport(now, { m_options.vm }, own);
     const dispatch::LoadReport zone = m_relayReports.zoneSum(now);
     const std::string toRelays = encodeReport(HeartbeatScope::Zone, localZoneUse(now), zone);
     for (const RouterAddress& it : m_plan.relays)
@@ -213,22 +214,22 @@
         sendHeartbeat(it, m_relayReports.includedSerial(now, it.vm), toMembers);
     subtract(all, own);
     m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, aggregateSource, all); });
-    m_relayReports.passedOn();
+    m_relayReports.clearForwardedPrompts();
     logLateReports(now);
 }
 
 void Fleet::logLateReports(TimePoint now)
 {
-    std::set<std::string> late = m_relayReports.late(now);
-    if (late == m_lateReports)
+    std::set<std::string> staleSources = m_relayReports.staleSources(now);
+    if (staleSources == m_lateReports)
         return;
     std::map<std::string, bool> changed;
-    for (const std::string& it : late) {
+    for (const std::string& it : staleSources) {
         if (!m_lateReports.contains(it))
             changed.emplace(it, true);
     }
     for (const std::string& it : m_lateReports) {
-        if (!late.contains(it))
+        if (!staleSources.contains(it))
             changed.emplace(it, false);
     }
     std::string text;
@@ -237,29 +238,29 @@
         if (named++ < maxListedChanges)
             text += (text.empty() ? "" : ",") + name + (isLate ? ":late" : ":in-time");
     }
-    m_lateReports = std::move(late);
+    m_lateReports = std::move(staleSources);
     process::log(process::LogLevel::Info, "reports-left-out",
         { { "count", std::to_string(m_lateReports.size()) }, { "changed", text } });
 }
 
-FleetUse Fleet::localZoneUse(TimePoint now) const
+FleetUtilization Fleet::localZoneUse(TimePoint now) const
 {
-    std::vector<RouterUse> routers { { { m_options.vm }, { m_options.zone }, m_options.capacity(),
-        m_state.usePercent } };
-    for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept)) {
+    std::vector<RouterUtilization> routers { { { m_options.vm }, { m_options.zone }, m_options.capacity(),
+        m_state.utilizationPercent } };
+    for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatTimeout)) {
         if (m_plan.isDirect || it.zone.value == m_options.zone)
-            routers.push_back({ it.vm, it.zone, it.capacity, it.usePercent });
+            routers.push_back({ it.vm, it.zone, it.capacity, it.utilizationPercent });
     }
-    return sumUse(routers);
+    return summarizeUtilization(routers);
 }
 
-FleetUse Fleet::fleetUse(TimePoint now) const
+FleetUtilization Fleet::fleetUse(TimePoint now) const
 {
     if (!m_plan.isDirect && !m_plan.isRelay) {
         const std::optional<Peer> relay = m_plan.relay ? m_peerHeartbeats.find(now, m_plan.relay->vm) : std::nullopt;
-        return relay ? relay->use : FleetUse {};
+        return relay ? relay->use : FleetUtilization {};
     }
-    FleetUse use = localZoneUse(now);
+    FleetUtilization use = localZoneUse(now);
     for (const RouterAddress& it : m_plan.relays) {
         if (const std::optional<Peer> relay = m_peerHeartbeats.find(now, it.vm))
             add(use, relay->use);
@@ -314,16 +315,16 @@
         load->crashes.clear();
     }
     if (heartbeat->scope == HeartbeatScope::Zone) {
-        m_relayReports.zoneReported(now, heartbeat->zone, std::move(*load));
+        m_relayReports.setZoneReport(now, heartbeat->zone, std::move(*load));
         return;
     }
     if (m_plan.isRelay && heartbeat->scope == HeartbeatScope::Router) {
-        m_relayReports.memberReported(now, heartbeat->vm, std::move(*load));
+        m_relayReports.setRouterReport(now, heartbeat->vm, std::move(*load));
         return;
     }
     const bool isSum = heartbeat->scope == HeartbeatScope::All;
     // Drops a sum that contains an own report too old to be subtracted: this router's requests would count twice.
-    if (isSum && !m_ownReports.takeOff(*load, heartbeat->includedSerial))
+    if (isSum && !m_ownReports.subtractFrom(*load, heartbeat->includedSerial))
         return;
     const VmId source = isSum ? aggregateSource : heartbeat->vm;
     m_state.withDispatcher([&](dispatch::Dispatcher& it) { it.peerReported(now, source, *load); });
@@ -380,7 +381,7 @@
 std::vector<Peer> Fleet::peers(TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    return m_peerHeartbeats.alive(now, heartbeatKept);
+    return m_peerHeartbeats.alive(now, heartbeatTimeout);
 }
 
 std::vector<RouterContact> Fleet::contacts(TimePoint now) const
@@ -388,7 +389,7 @@
     std::lock_guard lock(m_mutex);
     std::vector<RouterContact> found;
     if (m_plan.isDirect) {
-        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept))
+        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatTimeout))
             found.push_back({ it.vm, it.controlAddress });
         return found;
     }
@@ -432,7 +433,7 @@
                 add(*relay);
         }
     } else {
-        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept))
+        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatTimeout))
             add(it);
     }
     return news::standing({ m_options.vm }, m_options.capacity(), others, times);
@@ -442,31 +443,32 @@
 {
     std::vector<EntryPoint> ready;
     if (m_state.canServe())
-        ready.push_back({ m_options.callersListen, { m_options.zone }, m_options.capacity(), m_state.usePercent });
+        ready.push_back(
+            { m_options.callersListen, { m_options.zone }, m_options.capacity(), m_state.utilizationPercent });
     std::lock_guard lock(m_mutex);
     if (m_plan.isDirect) {
-        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatKept)) {
+        for (const Peer& it : m_peerHeartbeats.alive(now, heartbeatTimeout)) {
             if (it.isReady)
-                ready.push_back({ it.callerAddress, it.zone, it.capacity, it.usePercent });
+                ready.push_back({ it.callerAddress, it.zone, it.capacity, it.utilizationPercent });
         }
         return chooseEntryPoints(ready, callerZone, callerKey);
     }
     // In a large fleet not every router sends its heartbeats here. Gossip, with some delay, has the live routers and
     // whether they have a configuration.
-    const FleetUse use = fleetUse(now);
-    const auto usePercent = [&](const membership::MemberSummary& it) {
-        const auto own = use.crowded.find(it.life.vm);
-        if (own != use.crowded.end())
+    const FleetUtilization use = fleetUse(now);
+    const auto utilizationPercent = [&](const membership::MemberSummary& it) {
+        const auto own = use.busyRouters.find(it.life.vm);
+        if (own != use.busyRouters.end())
             return own->second;
         const auto zone = use.zones.find(it.zone);
-        return zone == use.zones.end() ? 0 : std::min(zone->second, crowdedPercent);
+        return zone == use.zones.end() ? 0 : std::min(zone->second, highUtilizationPercent);
     };
     for (const membership::Member& it : m_gossip->view().members) {
         const membership::MemberSummary& summary = it.summary;
         const bool isReady
             = it.state == membership::MemberState::Alive && !summary.draining && summary.configOffset > 0;
         if (isReady && summary.life.vm.value != m_options.vm)
-            ready.push_back({ summary.callerAddress, summary.zone, summary.capacity, usePercent(summary) });
+            ready.push_back({ summary.callerAddress, summary.zone, summary.capacity, utilizationPercent(summary) });
     }
     return chooseEntryPoints(ready, callerZone, callerKey);
 }
@@ -474,7 +476,7 @@
 std::uint32_t Fleet::meanUsePercent(TimePoint now) const
 {
     std::lock_guard lock(m_mutex);
-    const FleetUse use = fleetUse(now);
+    const FleetUtilization use = fleetUse(now);
     std::uint32_t sum = 0;
     for (const auto& [zone, percent] : use.zones)
         sum += percent;
--- a/apps/sagechute-edge/Fleet.h
+++ b/apps/sagechute-edge/Fleet.h
@@ -65,14 +65,14 @@
     Heartbeat makeHeartbeat(HeartbeatScope) const;
 
     /// @return an encoded heartbeat with a load report, to be sent to any number of receivers.
-    std::string encodeReport(HeartbeatScope, FleetUse, const dispatch::LoadReport&) const;
+    std::string encodeReport(HeartbeatScope, FleetUtilization, const dispatch::LoadReport&) const;
     void sendHeartbeat(const RouterAddress&, std::uint64_t includedSerial, std::string_view shared);
     void sendOwnReport(TimePoint now);
     void sendAggregateReports(TimePoint now, const dispatch::LoadReport& own);
-    FleetUse localZoneUse(TimePoint now) const;
+    FleetUtilization localZoneUse(TimePoint now) const;
 
     /// @return CPU utilization of the routers, as far as it is known here.
-    FleetUse fleetUse(TimePoint now) const;
+    FleetUtilization fleetUse(TimePoint now) const;
     void updatePlan();
     void sendGossip(const std::vector<membership::Datagram>&);
     void sendHeartbeats(TimePoint now);
@@ -87,7 +87,7 @@
     Incarnation m_incarnation = 0;
     Incarnation m_incarnationStep;
     std::unique_ptr<membership::Gossip> m_gossip;
-    PeerBoard m_peerHeartbeats;
+    PeerTable m_peerHeartbeats;
 
     /// Transit times of the heartbeats of one incarnation of a router.
     struct Transit {
@@ -96,9 +96,9 @@
     };
     std::map<VmId, Transit> m_transitByRouter;
     ReportPlan m_plan;
-    RelayDesk m_relayReports;
-    std::set<std::string> m_lateReports; ///< As last logged; see RelayDesk::late().
-    OwnReports m_ownReports;
+    LoadReportAggregator m_relayReports;
+    std::set<std::string> m_lateReports; ///< As last logged; see LoadReportAggregator::late().
+    SentReports m_ownReports;
     std::uint64_t m_loggedViewVersion = 0;
     std::map<VmId, membership::MemberState> m_loggedMemberStates;
     TimePoint m_nextHeartbeat {};
--- a/apps/sagechute-edge/Housekeeping.cpp
+++ b/apps/sagechute-edge/Housekeeping.cpp
@@ -120,7 +120,7 @@
         fleet.tick(now);
         if (state.activeRequests > 0)
             idleSince = now;
-        if (isAccepting && now - begin >= times.stopTaking) {
+        if (isAccepting && now - begin >= times.stopAccepting) {
             state.isRejectingRequests = true;
             listeners.stopListeningForCallers();
             isAccepting = false;
--- a/apps/sagechute-edge/Listeners.cpp
+++ b/apps/sagechute-edge/Listeners.cpp
@@ -112,13 +112,13 @@
         m_context.state.chunksRelayed };
     const TimePoint now = steadyNow();
     m_context.overloadMeter.measure(now, work, m_callers->openConnections());
-    m_context.state.isCrowded = m_context.overloadMeter.isCrowded();
-    m_context.state.usePercent = m_context.overloadMeter.usePercent();
+    m_context.state.shouldShedConnections = m_context.overloadMeter.shouldShedConnections();
+    m_context.state.utilizationPercent = m_context.overloadMeter.utilizationPercent();
     const bool wasOpen = m_readinessGate.isOpen();
-    m_readinessGate.measure(now, m_context.overloadMeter.usePercent(), m_context.fleet.meanUsePercent(now));
+    m_readinessGate.measure(now, m_context.overloadMeter.utilizationPercent(), m_context.fleet.meanUsePercent(now));
     if (m_readinessGate.isOpen() != wasOpen)
         process::log(process::LogLevel::Warning, wasOpen ? "not-ready-for-load" : "ready-again",
-            { { "use-percent", std::to_string(m_context.overloadMeter.usePercent()) },
+            { { "use-percent", std::to_string(m_context.overloadMeter.utilizationPercent()) },
                 { "fleet-percent", std::to_string(m_context.fleet.meanUsePercent(now)) } });
 }
 
@@ -146,7 +146,7 @@
     if (addresses.empty())
         exchange.respond(textResponse(unavailable, "no router is ready\n"));
     else
-        exchange.respond(m_context.entryProtocol.locateAnswer(addresses, cacheTime));
+        exchange.respond(m_context.entryProtocol.locateResponse(addresses, cacheTime));
 }
 
 nlohmann::json Listeners::statusJson() const
@@ -163,7 +163,7 @@
     const news::ToldKnowledge known = m_context.state.knowledgeForPeers();
     return { { "vm", m_context.state.vm.value }, { "configVersion", m_context.state.configVersion() },
         { "canServe", m_context.state.canServe() }, { "readyForLoad", m_readinessGate.isOpen() },
-        { "usePercent", m_context.state.usePercent.load() }, { "configAgeMs", ageMs(known.configAge) },
+        { "usePercent", m_context.state.utilizationPercent.load() }, { "configAgeMs", ageMs(known.configAge) },
         { "targetsAgeMs", ageMs(known.targetsAge) }, { "readAgeMs", ageMs(known.readAge) },
         { "activeRequests", m_context.state.activeRequests.load() }, { "droppedLogLines", process::droppedLogLines() },
         { "targets", std::move(targets) }, { "peers", std::move(peers) } };
--- a/apps/sagechute-edge/Listeners.h
+++ b/apps/sagechute-edge/Listeners.h
@@ -11,7 +11,7 @@
     EdgeState& state;
     Fleet& fleet;
     RequestHandler& requestHandler;
-    CrowdMeter& overloadMeter;
+    AdaptiveRateLimiter& overloadMeter;
     const EntryProtocol& entryProtocol;
     process::Metrics& metrics;
     net::EventLoop& loop; ///< Drives all listeners.
--- a/apps/sagechute-edge/Options.cpp
+++ b/apps/sagechute-edge/Options.cpp
@@ -131,7 +131,7 @@
     settings.retrySlack = retrySlack;
     settings.retryWindow = fromSeconds(retryWindowSeconds);
     settings.leastRouters = static_cast<unsigned>(leastRouters);
-    settings.homesTrusted = isFirstStart ? Duration::zero() : affinityWarmUpAfterRestart;
+    settings.warmStartDuration = isFirstStart ? Duration::zero() : affinityWarmUpAfterRestart;
     return settings;
 }
 
--- a/apps/sagechute-edge/Relay.cpp
+++ b/apps/sagechute-edge/Relay.cpp
@@ -40,7 +40,7 @@
             { order.customer, request.method, order.facts.host, request.rawTarget, request.body });
     }
 
-    relay::RequestFacts factsOf(const RelayOrder& order, quarantine::RequestKey key)
+    relay::RequestInfo factsOf(const RelayOrder& order, quarantine::RequestKey key)
     {
         return { order.facts.id, order.route, order.service, order.customer, order.facts.prompt,
             order.exchange->request().body.size(), order.arrived, deadlineOf(order), key };
@@ -48,7 +48,7 @@
 
     class AttemptSink final : public net::TransferSink {
     public:
-        AttemptSink(std::shared_ptr<Relay> relay, unsigned number, dispatch::TargetLife target)
+        AttemptSink(std::shared_ptr<Relay> relay, unsigned number, dispatch::TargetIncarnation target)
             : m_relay(std::move(relay))
             , m_number(number)
             , m_target(std::move(target))
@@ -70,7 +70,7 @@
 
         const std::shared_ptr<Relay> m_relay;
         const unsigned m_number;
-        const dispatch::TargetLife m_target;
+        const dispatch::TargetIncarnation m_target;
     };
 
 } // namespace
@@ -130,7 +130,7 @@
     });
 }
 
-bool Relay::shouldSend(unsigned number, const dispatch::TargetLife& target)
+bool Relay::shouldSend(unsigned number, const dispatch::TargetIncarnation& target)
 {
     if (!m_order.exchange->isCallerThere()) {
         handleEvent([](relay::RequestFlow& flow, TimePoint now) { flow.callerGone(now); });
@@ -145,7 +145,7 @@
 
 void Relay::onHead(unsigned number, int status, const std::vector<net::Field>& fields)
 {
-    TargetAnswerHead head = m_context.targetProtocol.decodeHead(status, fields);
+    TargetResponseHead head = m_context.targetProtocol.decodeHead(status, fields);
     handleEvent([&](relay::RequestFlow& flow, TimePoint now) { flow.head(now, number, std::move(head)); });
 }
 
@@ -159,7 +159,7 @@
     handleEvent([&](relay::RequestFlow& flow, TimePoint now) { flow.ended(now, number, result.end); });
 }
 
-dispatch::Decision Relay::place(TimePoint now, const dispatch::Demand& demand, dispatch::Round round)
+dispatch::Decision Relay::place(TimePoint now, const dispatch::PlacementRequest& demand, dispatch::AttemptKind round)
 {
     return m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.place(now, demand, round); });
 }
@@ -170,14 +170,15 @@
 }
 
 void Relay::attemptEnded(
-    TimePoint now, dispatch::AttemptId attempt, dispatch::AttemptEnd end, const relay::AnswerEnd& answerEnd)
+    TimePoint now, dispatch::AttemptId attempt, dispatch::AttemptEnd end, const relay::ResponseEnd& responseEnd)
 {
     m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { it.ended(now, attempt, end); });
     m_context.metrics.recordAttempt(end);
-    m_context.metrics.recordAnswerEnd(answerEnd);
+    m_context.metrics.recordAnswerEnd(responseEnd);
 }
 
-void Relay::targetSaid(TimePoint now, const dispatch::TargetLife& target, const dispatch::TargetSignals& signals)
+void Relay::onTargetSignals(
+    TimePoint now, const dispatch::TargetIncarnation& target, const dispatch::TargetSignals& signals)
 {
     m_context.metrics.recordTargetSignals(signals);
     const dispatch::TargetSignals unknown = m_context.state.applyTargetSignals(now, target, signals);
@@ -195,15 +196,15 @@
     return m_context.state.withDispatcher([&](dispatch::Dispatcher& it) { return it.giveUp(now, service); });
 }
 
-void Relay::send(const relay::AttemptOrder& order)
+void Relay::send(const relay::OutgoingAttempt& order)
 {
     net::ClientRequest request = m_context.targetProtocol.encode(
-        { &m_order.exchange->request(), &order.placement.target, m_order.customer, order.left, order.resumeAfter });
+        { &m_order.exchange->request(), &order.placement.target, m_order.customer, order.timeLeft, order.resumeAfter });
     request.connectTimeout = connectTimeout;
     request.unackedTimeout = unackedTimeout;
     request.sendOnce = true;
     m_transfer = m_context.client.start(std::move(request),
-        std::make_unique<AttemptSink>(shared_from_this(), order.number, order.placement.target.life()));
+        std::make_unique<AttemptSink>(shared_from_this(), order.number, order.placement.target.incarnation()));
 }
 
 void Relay::cancel() { m_context.client.cancel(m_transfer); }
@@ -216,7 +217,7 @@
 
 void Relay::startStream(int status, const std::vector<net::Field>& relayed)
 {
-    m_context.metrics.recordFirstEvent(m_flow.record().firstEventAfter, m_flow.record().firstEventError);
+    m_context.metrics.recordFirstEvent(m_flow.record().firstEventLatency, m_flow.record().firstEventPredictionError);
     std::vector<net::Field> fields = relayed;
     addCloseHeader(fields);
     m_order.exchange->startStream(status, std::move(fields));
@@ -232,7 +233,7 @@
 
 void Relay::abort() { m_order.exchange->abort(); }
 
-void Relay::respond(const TargetAnswerHead& head, std::string body)
+void Relay::respond(const TargetResponseHead& head, std::string body)
 {
     sendResponse({ head.status, head.relayed, std::move(body) });
 }
@@ -267,17 +268,17 @@
             { "service", m_order.service.value }, { "config", std::to_string(m_order.table->config().version) },
             { "status", std::to_string(record.status) }, { "outcome", record.outcome },
             { "attempts", record.trace.empty() ? "none" : record.trace.substr(1) },
-            { "ms", formatDurationMs(duration) }, { "first-ms", formatDurationMs(record.firstEventAfter) },
-            { "predicted-ms", formatDurationMs(record.placement.predictedFirst) },
-            { "read-tokens", std::to_string(record.placement.tokensToRead) },
-            { "prompt-tokens", std::to_string(m_order.facts.prompt.tokensIn) },
-            { "answer-tokens", std::to_string(m_order.facts.prompt.tokensOut) },
+            { "ms", formatDurationMs(duration) }, { "first-ms", formatDurationMs(record.firstEventLatency) },
+            { "predicted-ms", formatDurationMs(record.placement.predictedFirstEventDelay) },
+            { "read-tokens", std::to_string(record.placement.prefillTokens) },
+            { "prompt-tokens", std::to_string(m_order.facts.prompt.inputTokens) },
+            { "answer-tokens", std::to_string(m_order.facts.prompt.maxOutputTokens) },
             { "wait-ms", formatDurationMs(admission.wait) }, { "allowed-ms", formatDurationMs(admission.allowed) },
             { "share-percent", std::to_string(static_cast<int>(admission.share * percent)) },
             { "far-above", admission.isFarAbove ? "yes" : "no" },
-            { "size-helped", admission.isSizeHelped ? "yes" : "no" },
-            { "sums-age-ms", admission.sumsAge ? formatDurationMs(*admission.sumsAge) : "none" },
-            { "come-back-ms", formatDurationMs(record.refusal.comeBack) },
+            { "size-helped", admission.isSizeBoosted ? "yes" : "no" },
+            { "sums-age-ms", admission.oldestReportAge ? formatDurationMs(*admission.oldestReportAge) : "none" },
+            { "come-back-ms", formatDurationMs(record.refusal.retryAfter) },
             { "targets-offset", std::to_string(known.targetsNext) },
             { "known-ms", formatDurationMs(unsuspendedNow() - news::knownUntil(known).value_or(TimePoint {})) } });
 }
--- a/apps/sagechute-edge/Relay.h
+++ b/apps/sagechute-edge/Relay.h
@@ -24,7 +24,7 @@
 /// A request to be relayed, with its route, customer and service.
 struct RelayOrder {
     std::shared_ptr<net::ServerExchange> exchange;
-    CallerFacts facts;
+    CallerInfo facts;
     std::shared_ptr<const dispatch::RoutingTable> table; ///< The table used on acceptance; keeps the route alive.
     const dispatch::Route* route = nullptr;
     ServiceId service;
@@ -36,7 +36,7 @@
 ///
 /// Events come from the server (the caller disconnects), the client (the response) and the timers, possibly on three
 /// threads. A mutex serializes them; no call made under it blocks.
-class Relay : public std::enable_shared_from_this<Relay>, private relay::FlowPort {
+class Relay : public std::enable_shared_from_this<Relay>, private relay::RequestFlowDelegate {
 public:
     static void start(const RelayContext&, RelayOrder);
 
@@ -46,7 +46,7 @@
     /// Checks again just before a request is sent: a router that lags by seconds would otherwise send requests whose
     /// callers have disconnected or whose targets have asked for no more.
     /// @return false if the caller has disconnected or the target accepts no more requests.
-    bool shouldSend(unsigned number, const dispatch::TargetLife&);
+    bool shouldSend(unsigned number, const dispatch::TargetIncarnation&);
 
     // Called by the attempt's transfer sink.
     void onHead(unsigned number, int status, const std::vector<net::Field>&);
@@ -54,18 +54,18 @@
     void onEnd(unsigned number, const net::TransferResult&);
 
 private:
-    dispatch::Decision place(TimePoint now, const dispatch::Demand&, dispatch::Round) override;
+    dispatch::Decision place(TimePoint now, const dispatch::PlacementRequest&, dispatch::AttemptKind) override;
     void firstAnswer(TimePoint now, dispatch::AttemptId) override;
-    void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const relay::AnswerEnd&) override;
-    void targetSaid(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) override;
+    void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const relay::ResponseEnd&) override;
+    void onTargetSignals(TimePoint now, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&) override;
     dispatch::Refusal giveUp(TimePoint now, const ServiceId&) override;
-    void send(const relay::AttemptOrder&) override;
+    void send(const relay::OutgoingAttempt&) override;
     void cancel() override;
     void startStream(int status, const std::vector<net::Field>&) override;
     void write(std::string_view) override;
     void finish() override;
     void abort() override;
-    void respond(const TargetAnswerHead&, std::string body) override;
+    void respond(const TargetResponseHead&, std::string body) override;
     void refuse(int status, std::string_view reason, std::optional<Duration> retryAfter) override;
 
     void begin();
--- a/apps/sagechute-edge/RequestHandler.cpp
+++ b/apps/sagechute-edge/RequestHandler.cpp
@@ -38,7 +38,7 @@
 
 std::optional<RequestHandler::Verdict> RequestHandler::accept(const net::ServerRequest& request, RelayOrder& order)
 {
-    absl::StatusOr<CallerFacts> facts = m_context.callerProtocol.decode(request);
+    absl::StatusOr<CallerInfo> facts = m_context.callerProtocol.decode(request);
     if (!facts.ok())
         return Verdict { badRequest, "bad-request", std::nullopt };
     order.facts = std::move(*facts);
@@ -61,10 +61,10 @@
         return Verdict { badRequest, "no-request-id", std::nullopt };
     if (request.body.size() > order.table->config().limits.bodyBytes)
         return Verdict { tooLarge, "body-too-large", std::nullopt };
-    if (!m_overloadMeter.takes(order.arrived, order.customer)) {
+    if (!m_overloadMeter.admit(order.arrived, order.customer)) {
         ++m_context.state.requestsShed;
         m_context.state.withDispatcher(
-            [&](dispatch::Dispatcher& it) { it.turnedAway(order.arrived, order.customer, order.facts.prompt); });
+            [&](dispatch::Dispatcher& it) { it.shed(order.arrived, order.customer, order.facts.prompt); });
         return Verdict { unavailable, "router-crowded", overloadRetryAfter };
     }
     ++m_context.state.requestsAccepted;
@@ -93,8 +93,8 @@
         { { "id", order.facts.id }, { "route", order.route ? order.route->name : "none" },
             { "customer", order.customer.value }, { "config", version }, { "status", std::to_string(verdict.status) },
             { "outcome", std::string(verdict.reason) }, { "caller", exchange.request().peerAddress },
-            { "prompt-tokens", std::to_string(order.facts.prompt.tokensIn) },
-            { "answer-tokens", std::to_string(order.facts.prompt.tokensOut) } });
+            { "prompt-tokens", std::to_string(order.facts.prompt.inputTokens) },
+            { "answer-tokens", std::to_string(order.facts.prompt.maxOutputTokens) } });
 }
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/RequestHandler.h
+++ b/apps/sagechute-edge/RequestHandler.h
@@ -7,7 +7,7 @@
 /// Validates callers' requests, determines their route, customer and service, and starts a relay for each.
 class RequestHandler {
 public:
-    RequestHandler(const RelayContext& context, CrowdMeter& overloadMeter)
+    RequestHandler(const RelayContext& context, AdaptiveRateLimiter& overloadMeter)
         : m_context(context)
         , m_overloadMeter(overloadMeter)
     {
@@ -30,7 +30,7 @@
     void reject(net::ServerExchange&, const RelayOrder&, const Verdict&) const;
 
     const RelayContext m_context;
-    CrowdMeter& m_overloadMeter;
+    AdaptiveRateLimiter& m_overloadMeter;
 };
 
 } // namespace sagechute::edge
--- a/apps/sagechute-edge/main.cpp
+++ b/apps/sagechute-edge/main.cpp
@@ -69,7 +69,7 @@
         auto fleet = Fleet::make(state, inbox, options, incarnation);
         if (!fleet.ok())
             return failStart(fleet.status());
-        CrowdMeter overloadMeter(options.cores(), options.maxCallerConnections());
+        AdaptiveRateLimiter overloadMeter(options.cores(), options.maxCallerConnections());
         RequestHandler requestHandler(
             { state, **targetClient, *callerProtocol, *targetProtocol, timers, edgeMetrics }, overloadMeter);
         auto listeners = Listeners::make(
--- a/include/sagechute/Dispatch.h
+++ b/include/sagechute/Dispatch.h
@@ -336,7 +336,7 @@
     std::map<TargetKey, TargetLoad> targets;
     std::map<CustomerId, CustomerUsage> customers;
     std::map<TargetKey, PlacedPrompts> placed; ///< Since the report before the last; each placement is sent twice.
-    std::set<quarantine::CrashRecord> crashes; ///< See quarantine::CrashLedger::tell().
+    std::set<quarantine::CrashRecord> crashes; ///< See quarantine::CrashRecordSet::tell().
 };
 
 /// Adds the report of another router, or an aggregate of several.
--- a/include/sagechute/Relay.h
+++ b/include/sagechute/Relay.h
@@ -47,12 +47,12 @@
     virtual ~RequestFlowDelegate() = default;
 
     // Placement and load accounting, shared by all requests.
-    virtual dispatch::Decision place(TimePoint now, const dispatch::Demand&, dispatch::Round) = 0;
+    virtual dispatch::Decision place(TimePoint now, const dispatch::PlacementRequest&, dispatch::AttemptKind) = 0;
     virtual void firstAnswer(TimePoint now, dispatch::AttemptId) = 0;
     virtual void attemptEnded(TimePoint now, dispatch::AttemptId, dispatch::AttemptEnd, const ResponseEnd&) = 0;
 
     /// A target reported signals about itself, whether or not its response is usable.
-    virtual void onTargetSignals(TimePoint now, const dispatch::TargetLife&, const dispatch::TargetSignals&) = 0;
+    virtual void onTargetSignals(TimePoint now, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&) = 0;
 
     /// @return the refusal for a request that has used up its attempts.
     virtual dispatch::Refusal giveUp(TimePoint now, const ServiceId&) = 0;
@@ -128,10 +128,10 @@
     const FlowRecord& record() const { return m_record; }
 
 private:
-    using Round = dispatch::Round;
+    using AttemptKind = dispatch::AttemptKind;
     using AttemptEnd = dispatch::AttemptEnd;
 
-    void place(TimePoint now, Round);
+    void place(TimePoint now, AttemptKind);
     void send(TimePoint now, const dispatch::Placement&);
     void finishAttempt(TimePoint now, AttemptEnd, const ResponseEnd& = {});
 
@@ -172,7 +172,7 @@
     std::optional<edge::EventSplitter> m_splitter;
 
     // Across all attempts.
-    std::vector<dispatch::TargetLife> m_sentTo; ///< Indexed by attempt number minus one.
+    std::vector<dispatch::TargetIncarnation> m_sentTo; ///< Indexed by attempt number minus one.
     unsigned m_possibleRuns = 0;
     bool m_mayHaveRun = false;
     bool m_hasStarted = false;
--- a/src/dispatch/LocalDispatcher.cpp
+++ b/src/dispatch/LocalDispatcher.cpp
@@ -560,7 +560,7 @@
             report.targets[model->key()] = model->localLoad();
     }
     report.customers = m_shares.localUsage(now);
-    const std::vector<quarantine::CrashRecord> crashes = m_crashes.tell();
+    const std::vector<quarantine::CrashRecord> crashes = m_crashes.recordsToSend();
     report.crashes = { crashes.begin(), crashes.end() };
     report.placed = m_previouslyPlaced;
     for (const auto& [key, placed] : m_newlyPlaced) {
--- a/src/relay/RequestFlow.cpp
+++ b/src/relay/RequestFlow.cpp
@@ -119,16 +119,16 @@
 {
 }
 
-void RequestFlow::begin(TimePoint now) { place(now, Round::First); }
+void RequestFlow::begin(TimePoint now) { place(now, AttemptKind::First); }
 
-void RequestFlow::place(TimePoint now, Round round)
+void RequestFlow::place(TimePoint now, AttemptKind round)
 {
     if (m_info.deadline - now < minAttemptTime) {
         fail(m_mayHaveRun ? gatewayTimeout : unavailable, "no time is left");
         return;
     }
-    const dispatch::Demand demand { m_info.customer, m_info.service, m_info.route, m_info.prompt, m_info.bytes,
-        m_info.arrived, m_info.deadline, { m_sentTo.begin(), m_sentTo.end() }, m_info.key };
+    const dispatch::PlacementRequest demand { m_info.customer, m_info.service, m_info.route, m_info.prompt,
+        m_info.bytes, m_info.arrived, m_info.deadline, { m_sentTo.begin(), m_sentTo.end() }, m_info.key };
     const dispatch::Decision decision = m_delegate.place(now, demand, round);
     if (const auto* placement = std::get_if<dispatch::Placement>(&decision)) {
         m_record.isRefused = false;
@@ -155,7 +155,7 @@
     m_body.clear();
     m_rejectReason = {};
     m_splitter.emplace(m_lastEventId);
-    m_sentTo.push_back(placement.target.life());
+    m_sentTo.push_back(placement.target.incarnation());
     m_attemptNumber = static_cast<unsigned>(m_sentTo.size());
     m_inFlight = true;
     m_silenceDeadline = now + responseTimeout(now);
@@ -169,7 +169,7 @@
     if (m_info.route->kind == RequestKind::Idempotent)
         return std::chrono::duration_cast<Duration>(silenceFraction * timeLeft);
     if (m_info.route->kind == RequestKind::Stream && m_info.route->isResumable)
-        return firstEventFactor * m_record.placement.predictedFirst + streamIdleTimeout;
+        return firstEventFactor * m_record.placement.predictedFirstEventDelay + streamIdleTimeout;
     return timeLeft;
 }
 
@@ -250,7 +250,7 @@
         return;
     m_hasStarted = true;
     m_record.firstEventLatency = now - m_info.arrived;
-    m_record.firstEventPredictionError = now - m_sentAt - m_record.placement.predictedFirst;
+    m_record.firstEventPredictionError = now - m_sentAt - m_record.placement.predictedFirstEventDelay;
     m_delegate.startStream(m_head->status, m_head->relayed);
 }
 
@@ -291,8 +291,8 @@
 {
     m_inFlight = false;
     m_delegate.attemptEnded(now, m_record.placement.attempt, end, responseEnd);
-    m_record.trace
-        += " " + toString(m_record.placement.target.life()) + ":" + std::string(toString(end)) + toString(responseEnd);
+    m_record.trace += " " + toString(m_record.placement.target.incarnation()) + ":" + std::string(toString(end))
+        + toString(responseEnd);
     if (m_head)
         m_record.trace += toString(m_head->signals);
     if (!certainlyHasNotRun(end)) {
@@ -325,7 +325,7 @@
         }
         return;
     case NextStep::TryElsewhere:
-        place(now, hasNotReachedTarget(end) ? Round::AfterNothing : Round::AfterArrival);
+        place(now, hasNotReachedTarget(end) ? AttemptKind::RetryUnsent : AttemptKind::RetryAfterSend);
         return;
     case NextStep::Refuse:
         m_record.isRefused = true;
@@ -360,7 +360,7 @@
 void RequestFlow::refuse(const dispatch::Refusal& refusal)
 {
     const int status = refusal.reason == dispatch::RefusalReason::OverShare ? tooManyRequests : unavailable;
-    m_delegate.refuse(status, toString(refusal.reason), refusal.comeBack);
+    m_delegate.refuse(status, toString(refusal.reason), refusal.retryAfter);
     conclude(status, "refused-or-failed");
 }
 
--- a/tests/RelayFlowTest.cpp
+++ b/tests/RelayFlowTest.cpp
@@ -45,7 +45,7 @@
 NextStep ignoresRunLimit(const AttemptFacts& facts)
 {
     AttemptFacts unbounded = facts;
-    unbounded.attemptsMost = 100;
+    unbounded.maxAttempts = 100;
     return dispatch::nextStep(unbounded);
 }
 
@@ -114,7 +114,7 @@
 
 /// A delegate that records its calls.
 struct RecordingDelegate final : RequestFlowDelegate {
-    dispatch::Decision place(TimePoint, const dispatch::Demand&, dispatch::Round round) override
+    dispatch::Decision place(TimePoint, const dispatch::PlacementRequest&, dispatch::AttemptKind round) override
     {
         rounds.push_back(round);
         return placement;
@@ -125,7 +125,8 @@
         ends.push_back(end);
         answerEnds.push_back(how);
     }
-    void onTargetSignals(TimePoint, const dispatch::TargetLife& life, const dispatch::TargetSignals& signals) override
+    void onTargetSignals(
+        TimePoint, const dispatch::TargetIncarnation& life, const dispatch::TargetSignals& signals) override
     {
         receivedSignals.emplace_back(life, signals);
     }
@@ -145,11 +146,11 @@
 
     dispatch::Placement placement { 1, { { "t" }, { "s" }, "127.0.0.1:1", { "z" }, 8, false }, 0, 50ms };
     dispatch::Refusal lastRefusal;
-    std::vector<dispatch::Round> rounds;
+    std::vector<dispatch::AttemptKind> rounds;
     std::vector<OutgoingAttempt> orders;
     std::vector<AttemptEnd> ends;
     std::vector<ResponseEnd> answerEnds;
-    std::vector<std::pair<dispatch::TargetLife, dispatch::TargetSignals>> receivedSignals;
+    std::vector<std::pair<dispatch::TargetIncarnation, dispatch::TargetSignals>> receivedSignals;
     unsigned cancels = 0;
     unsigned aborts = 0;
     unsigned finishes = 0;
@@ -242,7 +243,7 @@
     head.signals.isDraining = true;
     flow.head(start + 20ms, 1, head);
     REQUIRE(delegate.receivedSignals.size() == 1);
-    CHECK(delegate.receivedSignals.front().first == dispatch::TargetLife { { "t" } });
+    CHECK(delegate.receivedSignals.front().first == dispatch::TargetIncarnation { { "t" } });
     CHECK(delegate.receivedSignals.front().second.isDraining);
 }
 
@@ -270,7 +271,7 @@
     flow.withdrawn(start + 5ms, 1);
     CHECK(delegate.ends == std::vector { AttemptEnd::Withdrawn });
     CHECK(delegate.orders.size() == 2);
-    CHECK(delegate.rounds == std::vector { dispatch::Round::First, dispatch::Round::AfterNothing });
+    CHECK(delegate.rounds == std::vector { dispatch::AttemptKind::First, dispatch::AttemptKind::RetryUnsent });
     // The end of its transfer arrives later and is ignored.
     flow.ended(start + 6ms, 1, net::TransferEnd::NothingSent);
     CHECK(delegate.orders.size() == 2);
@@ -284,7 +285,7 @@
     delegate.lastRefusal = { dispatch::RefusalReason::Backoff, 2s, {} };
     RequestFlow flow(delegate, infoOf(route));
     flow.begin(start);
-    for (unsigned number = 1; number <= dispatch::mostTries; ++number) {
+    for (unsigned number = 1; number <= dispatch::maxTries; ++number) {
         flow.head(start + 5ms, number, { 503, "id", true, false, false, {} });
         flow.ended(start + 5ms, number, net::TransferEnd::Completed);
     }
--- a/tests/RelayWorld.cpp
+++ b/tests/RelayWorld.cpp
@@ -94,7 +94,8 @@
 
     bool mayRepeat() const { return kind == Idempotent || kind == Resumable; }
 
-    dispatch::Decision place(TimePoint now, const dispatch::Demand& demand, dispatch::Round round) override
+    dispatch::Decision place(
+        TimePoint now, const dispatch::PlacementRequest& demand, dispatch::AttemptKind round) override
     {
         return dispatcher.place(now, demand, round);
     }
@@ -103,7 +104,7 @@
     {
         dispatcher.ended(now, it, end);
     }
-    void onTargetSignals(TimePoint, const dispatch::TargetLife&, const dispatch::TargetSignals&) override { }
+    void onTargetSignals(TimePoint, const dispatch::TargetIncarnation&, const dispatch::TargetSignals&) override { }
     dispatch::Refusal giveUp(TimePoint now, const ServiceId& service) override
     {
         return dispatcher.giveUp(now, service);
--- a/tests/ReportsTest.cpp
+++ b/tests/ReportsTest.cpp
@@ -91,11 +91,11 @@
     aggregator.setRouterReport(start, { "b" }, two);
     aggregator.setZoneReport(start, { "far" }, one);
     const dispatch::LoadReport zone = aggregator.zoneSum(start);
-    CHECK(zone.targets.at(1).tokensToRead == 30);
+    CHECK(zone.targets.at(1).prefillTokens == 30);
     const dispatch::LoadReport all = aggregator.sum(start, zone);
-    CHECK(all.targets.at(1).tokensToRead == 40);
+    CHECK(all.targets.at(1).prefillTokens == 40);
     CHECK(all.placed.at(1).shared.size() == 2);
-    CHECK(all.placed.at(1).ownTokens == 300);
+    CHECK(all.placed.at(1).unsharedTokens == 300);
     CHECK(aggregator.includedSerial(start, { "a" }) == 4);
     CHECK(aggregator.includedSerial(start, { "b" }) == 9);
     CHECK(aggregator.includedSerial(start, { "unheard" }) == 0);
@@ -105,7 +105,7 @@
     sentReports.sent(one);
     dispatch::LoadReport forA = all;
     REQUIRE(sentReports.subtractFrom(forA, 4));
-    CHECK(forA.targets.at(1).tokensToRead == 30);
+    CHECK(forA.targets.at(1).prefillTokens == 30);
     CHECK(forA.customers.at({ "c" }).granted == 8);
 
     aggregator.clearForwardedPrompts();
@@ -150,7 +150,7 @@
     dispatch::LoadReport sum;
     sum.targets[1] = { 10, 1, 100 };
     CHECK(sentReports.subtractFrom(sum, 0));
-    CHECK(sum.targets.at(1).tokensToRead == 10);
+    CHECK(sum.targets.at(1).prefillTokens == 10);
     CHECK_FALSE(sentReports.subtractFrom(sum, 5));
     dispatch::LoadReport own = sum;
     for (own.serial = 1; own.serial <= 100; ++own.serial)
