--- a/src/membership/GossipMember.cpp
+++ b/src/membership/GossipMember.cpp
@@ -149,8 +149,8 @@
     m_nextSearch = now + kSearchInterval / 2
         + Duration(static_cast<Duration::rep>(m_random->below(static_cast<std::uint64_t>(kSearchInterval.count()))));
     std::vector<std::string> addresses = joinCandidates();
-    const std::size_t most = isAlone ? kSeedsPerJoin : 1;
-    for (std::size_t n = 0; n < most && !addresses.empty(); ++n) {
+    const std::size_t maxCount = isAlone ? kSeedsPerJoin : 1;
+    for (std::size_t n = 0; n < maxCount && !addresses.empty(); ++n) {
         const std::size_t place = m_random->below(addresses.size());
         join(addresses[place], now);
         addresses.erase(addresses.begin() + static_cast<std::ptrdiff_t>(place));
--- a/src/membership/GossipMember.h
+++ b/src/membership/GossipMember.h
@@ -66,7 +66,7 @@
     std::optional<std::size_t> nextTarget(bool& isSample);
     std::optional<std::size_t> takePriorityProbe();
     void probe(std::size_t index, bool isSample, TimePoint now);
-    std::vector<std::size_t> randomPeers(std::size_t most, std::optional<std::size_t> except);
+    std::vector<std::size_t> randomPeers(std::size_t maxCount, std::optional<std::size_t> except);
     void updateProbeOrder();
 
     // Joining, anti-entropy, publishing the local status.
--- a/src/membership/GossipMessage.cpp
+++ b/src/membership/GossipMessage.cpp
@@ -54,9 +54,9 @@
     /// Reads the items of a decoded array in order. After the first invalid item all reads fail.
     class ArrayReader {
     public:
-        ArrayReader(const json& array, std::size_t least, std::size_t most)
+        ArrayReader(const json& array, std::size_t minSize, std::size_t limit)
             : m_array(array)
-            , m_ok(array.is_array() && array.size() >= least && array.size() <= most)
+            , m_ok(array.is_array() && array.size() >= minSize && array.size() <= limit)
         {
         }
 
@@ -72,10 +72,10 @@
             return &m_array[m_next++];
         }
 
-        template <typename Number> Number number(std::uint64_t most = std::numeric_limits<Number>::max())
+        template <typename Number> Number number(std::uint64_t limit = std::numeric_limits<Number>::max())
         {
             const json* it = item();
-            if (!it || !it->is_number_unsigned() || it->get<std::uint64_t>() > most) {
+            if (!it || !it->is_number_unsigned() || it->get<std::uint64_t>() > limit) {
                 m_ok = false;
                 return 0;
             }
@@ -92,13 +92,13 @@
             return it->get<std::string>();
         }
 
-        std::vector<std::uint32_t> numbers(std::size_t most)
+        std::vector<std::uint32_t> numbers(std::size_t limit)
         {
             std::vector<std::uint32_t> found;
             const json* it = item();
             if (!it)
                 return found;
-            ArrayReader inner(*it, 0, most);
+            ArrayReader inner(*it, 0, limit);
             while (!inner.atEnd())
                 found.push_back(inner.number<std::uint32_t>());
             m_ok = m_ok && inner.ok();
--- a/src/membership/GossipProbing.cpp
+++ b/src/membership/GossipProbing.cpp
@@ -142,14 +142,14 @@
     send(std::move(ping), m_table.at(target).summary.gossipAddress, target, now);
 }
 
-std::vector<std::size_t> GossipMember::randomPeers(std::size_t most, std::optional<std::size_t> except)
+std::vector<std::size_t> GossipMember::randomPeers(std::size_t maxCount, std::optional<std::size_t> except)
 {
     std::vector<std::size_t> found;
     for (std::size_t i = 0; i < m_table.size(); ++i) {
         if (m_table.isActivePeer(i) && i != except)
             found.push_back(i);
     }
-    const std::size_t n = std::min(most, found.size());
+    const std::size_t n = std::min(maxCount, found.size());
     for (std::size_t i = 0; i < n; ++i)
         std::swap(found[i], found[i + m_random->below(found.size() - i)]);
     found.resize(n);
--- a/src/membership/MemberDissemination.cpp
+++ b/src/membership/MemberDissemination.cpp
@@ -72,10 +72,10 @@
     std::size_t used = 0;
     for (const std::size_t i : waiting) {
         GossipState& gossipState = m_gossipStates[i];
-        const std::size_t most = std::min(space, gossipState.isUrgent ? kUrgentBytes : kRoutineBytes);
+        const std::size_t byteLimit = std::min(space, gossipState.isUrgent ? kUrgentBytes : kRoutineBytes);
         if (gossipState.isRecord) {
             const MemberRecord record = recordAbout(i, now);
-            if (message.records.size() >= m_settings.maxPiggybackedRecords || used + encodedBytes(record) > most)
+            if (message.records.size() >= m_settings.maxPiggybackedRecords || used + encodedBytes(record) > byteLimit)
                 continue;
             used += encodedBytes(record);
             message.records.push_back(record);
@@ -87,7 +87,7 @@
             if (isPresent)
                 continue;
             const std::size_t bytes = claim.state == MemberState::Alive ? kClaimWithStatusBytes : kClaimBytes;
-            if (used + bytes > most)
+            if (used + bytes > byteLimit)
                 continue;
             used += bytes;
             message.claims.push_back(claim);
