--- a/include/sagechute/News.h
+++ b/include/sagechute/News.h
@@ -154,7 +154,7 @@
 
     /// Marks a life of a target as draining because the target said so itself; no record is needed.
     /// @return whether this was new.
-    bool saidDraining(TimePoint now, const dispatch::TargetLife&);
+    bool saidDraining(TimePoint now, const dispatch::TargetIncarnation&);
 
     /// Replaces everything by a full list. @param end entries missing from the list were removed before this record.
     void replace(TimePoint now, const std::vector<TargetChange>& all, LogOffset end);
