--- a/include/sagechute/News.h
+++ b/include/sagechute/News.h
@@ -204,7 +204,7 @@
 
     /// State of a target's newest life, retained after its entry is removed.
     struct LifeRecord {
-        std::int64_t born = 0;
+        std::int64_t startedAtMs = 0;
         bool isLeaving = false;
         TimePoint at;
         LogOffset offset = 0; ///< Offset of the last record applied.
