--- a/apps/sagechute-router/Attempt.cpp
+++ b/apps/sagechute-router/AttemptSender.cpp
@@ -1,4 +1,4 @@
-#include "Attempt.h"
+#include "AttemptSender.h"
 
 #include <nlohmann/json.hpp>
 
@@ -9,14 +9,14 @@
 
 namespace {
 
-    constexpr std::string_view identityHeader = "Sagechute-Request-Id";
+    constexpr std::string_view requestIdHeader = "Sagechute-Request-Id";
 
-    /// Headers of a caller that the router that holds the session needs too.
+    /// Caller headers passed on to the router that holds the session.
     constexpr std::string_view forwardedHeaders[]
         = { "Authorization", "Accept", "Content-Type", "Sagechute-Repeatable", "Sagechute-Session",
               "Sagechute-Sequence", "Sagechute-Deadline-Ms", "Sagechute-Cost-Hint", "Sagechute-Caller-Tag" };
 
-    /// Headers of a caller that its target gets.
+    /// Caller headers passed on to the target.
     constexpr std::string_view targetHeaders[] = { "Accept", "Content-Type", "Sagechute-Caller-Tag" };
 
     template <std::size_t size>
@@ -28,7 +28,7 @@
         }
     }
 
-    AttemptEnd endOf(const net::TransferResult& result)
+    AttemptEnd toAttemptEnd(const net::TransferResult& result)
     {
         switch (result.end) {
         case net::TransferEnd::Completed:
@@ -45,11 +45,11 @@
         return AttemptEnd::Broken;
     }
 
-    /// A target that is overloaded or failing answers so; everything else below 500 is its complete answer to this
-    /// request.
+    /// Whether the status means that the target is overloaded or failing. Any other status below 500 is the target's
+    /// complete response to this request.
     bool isRejection(int status) { return status >= 500 || status == 429 || status == 408; }
 
-    Cost costIn(const json& document)
+    Cost reportedCost(const json& document)
     {
         if (!document.is_object())
             return 0;
@@ -59,122 +59,123 @@
         return usage["cost"].get<double>();
     }
 
-    /// What every kind of attempt does: report its end once.
-    class Sink : public net::TransferSink {
+    /// Base of the attempt sinks: reports the end of the attempt once.
+    class AttemptSink : public net::TransferSink {
     public:
-        Sink(std::shared_ptr<CallerRequest> caller, std::uint32_t attempt, Inbox& inbox, const RelaySettings& settings)
+        AttemptSink(std::shared_ptr<CallerRequest> caller, std::uint32_t attempt, EventQueue& eventQueue,
+            const RelaySettings& settings)
             : m_caller(std::move(caller))
-            , m_inbox(inbox)
+            , m_eventQueue(eventQueue)
             , m_settings(settings)
         {
-            m_ended.id = m_caller->id();
-            m_ended.attempt = attempt;
+            m_report.id = m_caller->id();
+            m_report.attempt = attempt;
         }
 
     protected:
         void report(AttemptEnd end, const net::TransferResult& result)
         {
-            m_ended.end = end;
-            m_ended.detail = result.detail;
-            m_inbox.push(std::move(m_ended));
+            m_report.end = end;
+            m_report.detail = result.detail;
+            m_eventQueue.push(std::move(m_report));
         }
 
         std::shared_ptr<CallerRequest> m_caller;
-        Inbox& m_inbox;
+        EventQueue& m_eventQueue;
         const RelaySettings& m_settings;
-        routing::AttemptEnded m_ended;
+        routing::AttemptEnded m_report;
         int m_status = 0;
     };
 
-    /// Collects a whole answer and checks whose it is.
-    class WholeSink : public Sink {
+    /// Buffers a non-streamed response and checks that it belongs to this request.
+    class BufferedAnswerSink : public AttemptSink {
     public:
-        using Sink::Sink;
+        using AttemptSink::AttemptSink;
 
     protected:
         void onHeaders(int status, const std::vector<net::Field>& fields) override
         {
             m_status = status;
-            m_ended.answer.httpStatus = status;
+            m_report.answer.httpStatus = status;
             if (auto type = net::findField(fields, "Content-Type"))
-                m_ended.answer.contentType = *type;
-            const auto identity = net::findField(fields, identityHeader);
-            m_crossed = identity && *identity != m_caller->idText();
-            m_unnamed = !identity;
+                m_report.answer.contentType = *type;
+            const auto echoedRequestId = net::findField(fields, requestIdHeader);
+            m_wrongRequestId = echoedRequestId && *echoedRequestId != m_caller->idText();
+            m_requestIdMissing = !echoedRequestId;
         }
 
         bool onBody(std::string_view bytes) override
         {
-            if (m_ended.answer.body.size() + bytes.size() > m_settings.mostAnswerBytes)
+            if (m_report.answer.body.size() + bytes.size() > m_settings.maxAnswerBytes)
                 m_tooLarge = true;
             else
-                m_ended.answer.body.append(bytes);
+                m_report.answer.body.append(bytes);
             return true;
         }
 
         void onEnd(const net::TransferResult& result) override
         {
-            AttemptEnd end = endOf(result);
-            // An answer that names no request could be anybody's.
-            const bool foreign = m_crossed || (m_unnamed && m_status < 400);
+            AttemptEnd end = toAttemptEnd(result);
+            // A successful response without a request id could belong to any request.
+            const bool unverified = m_wrongRequestId || (m_requestIdMissing && m_status < 400);
             if (end == AttemptEnd::Completed && isRejection(m_status))
                 end = AttemptEnd::Rejected;
-            else if (end == AttemptEnd::Completed && foreign)
+            else if (end == AttemptEnd::Completed && unverified)
                 end = AttemptEnd::Crossed;
             else if (end == AttemptEnd::Completed && m_tooLarge)
                 end = AttemptEnd::Broken;
             if (end == AttemptEnd::Completed)
-                m_ended.cost = costIn(json::parse(m_ended.answer.body, nullptr, false));
+                m_report.cost = reportedCost(json::parse(m_report.answer.body, nullptr, false));
             report(end, result);
         }
 
-        bool m_crossed = false;
-        bool m_unnamed = true;
+        bool m_wrongRequestId = false;
+        bool m_requestIdMissing = true;
         bool m_tooLarge = false;
     };
 
-    /// Takes over the whole answer of the router that holds the session, its outcome included.
-    class ForwardSink final : public WholeSink {
+    /// Buffers the response of the router that holds the session and adopts its outcome and request id.
+    class ForwardSink final : public BufferedAnswerSink {
     public:
-        using WholeSink::WholeSink;
+        using BufferedAnswerSink::BufferedAnswerSink;
 
     private:
         void onHeaders(int status, const std::vector<net::Field>& fields) override
         {
-            WholeSink::onHeaders(status, fields);
-            if (auto identity = net::findField(fields, identityHeader))
-                m_ended.answer.requestId = *identity;
+            BufferedAnswerSink::onHeaders(status, fields);
+            if (auto echoedRequestId = net::findField(fields, requestIdHeader))
+                m_report.answer.requestId = *echoedRequestId;
             const auto outcome = net::findField(fields, "Sagechute-Outcome");
-            m_named = outcome.has_value();
+            m_hasOutcome = outcome.has_value();
             if (outcome == "completed" || outcome == "streaming")
-                m_ended.answer.outcome = Outcome::Completed;
+                m_report.answer.outcome = Outcome::Completed;
             else if (outcome == "not-run")
-                m_ended.answer.outcome = Outcome::NotRun;
+                m_report.answer.outcome = Outcome::NotRun;
             else if (outcome == "incomplete")
-                m_ended.answer.outcome = Outcome::Incomplete;
+                m_report.answer.outcome = Outcome::Incomplete;
             else
-                m_ended.answer.outcome = Outcome::Unknown;
+                m_report.answer.outcome = Outcome::Unknown;
         }
 
         void onEnd(const net::TransferResult& result) override
         {
-            AttemptEnd end = endOf(result);
-            if (end == AttemptEnd::Completed && (!m_named || m_tooLarge))
+            AttemptEnd end = toAttemptEnd(result);
+            if (end == AttemptEnd::Completed && (!m_hasOutcome || m_tooLarge))
                 end = AttemptEnd::Broken;
             report(end, result);
         }
 
-        bool m_named = false;
+        bool m_hasOutcome = false;
     };
 
-    /// Relays a streamed answer event by event, as it comes.
-    class StreamSink final : public Sink {
+    /// Relays a streamed response event by event as it arrives.
+    class StreamSink final : public AttemptSink {
     public:
-        StreamSink(std::shared_ptr<CallerRequest> caller, std::uint32_t attempt, Inbox& inbox,
-            const RelaySettings& settings, std::uint64_t from, bool keep)
-            : Sink(std::move(caller), attempt, inbox, settings)
+        StreamSink(std::shared_ptr<CallerRequest> caller, std::uint32_t attempt, EventQueue& eventQueue,
+            const RelaySettings& settings, std::uint64_t from, bool storeAnswer)
+            : AttemptSink(std::move(caller), attempt, eventQueue, settings)
             , m_checker(m_caller->idText(), from)
-            , m_keep(keep)
+            , m_storeAnswer(storeAnswer)
         {
         }
 
@@ -184,16 +185,18 @@
         void onHeaders(int status, const std::vector<net::Field>& fields) override
         {
             m_status = status;
-            const auto identity = net::findField(fields, identityHeader);
-            m_crossed = identity && *identity != m_caller->idText();
+            const auto echoedRequestId = net::findField(fields, requestIdHeader);
+            m_wrongRequestId = echoedRequestId && *echoedRequestId != m_caller->idText();
         }
 
         bool onBody(std::string_view bytes) override
         {
-            if (m_status != 200 || m_crossed || m_checker.done() || m_checker.fault() != delivery::StreamFault::None)
+            if (m_status != 200 || m_wrongRequestId || m_checker.done()
+                || m_checker.fault() != delivery::StreamFault::None)
                 return true;
-            // A slow caller holds its own target's stream back; without a bound its answer would pile up here.
-            if (m_queued > m_settings.streamBufferBytes && waitForCaller())
+            // Backpressure: a slow caller pauses its target's stream. Otherwise the response would accumulate in
+            // memory.
+            if (m_queuedBytes > m_settings.streamBufferBytes && waitForCaller())
                 return false;
             m_checker.feed(bytes);
             relay();
@@ -202,17 +205,18 @@
 
         bool waitForCaller()
         {
-            m_queued = m_caller->exchange().write({});
-            if (m_queued <= m_settings.streamBufferBytes)
+            m_queuedBytes = m_caller->exchange().write({});
+            if (m_queuedBytes <= m_settings.streamBufferBytes)
                 return false;
             const net::TransferId self = transfer->load();
             if (!self)
-                return false; // Not yet known who to wake: the first bytes are few.
+                return false; // The transfer id is not stored yet, so it could not be resumed. Few bytes are queued
+                              // this early.
             m_caller->pausedTransfer.store(self);
-            // The queue may have drained between the look at it and the mark: look again, since nobody would wake this
-            // transfer.
-            m_queued = m_caller->exchange().write({});
-            if (m_queued > m_settings.streamBufferBytes)
+            // The queue may have drained before pausedTransfer was set, and then nothing would resume this transfer, so
+            // check it again.
+            m_queuedBytes = m_caller->exchange().write({});
+            if (m_queuedBytes > m_settings.streamBufferBytes)
                 return true;
             m_caller->pausedTransfer.store(0);
             return false;
@@ -220,33 +224,36 @@
 
         void relay()
         {
-            m_out.clear();
+            m_outgoing.clear();
             while (auto event = m_checker.next()) {
                 if (event->kind == delivery::StreamEventKind::Repeated)
                     continue;
                 if (event->kind == delivery::StreamEventKind::Done) {
-                    m_ended.usage = event->data;
+                    m_report.usage = event->data;
                     continue;
                 }
-                m_out.append("id: ").append(m_caller->idText()).append(":").append(std::to_string(event->position));
-                m_out.append("\ndata: ").append(event->data).append("\n\n");
+                m_outgoing.append("id: ")
+                    .append(m_caller->idText())
+                    .append(":")
+                    .append(std::to_string(event->position));
+                m_outgoing.append("\ndata: ").append(event->data).append("\n\n");
             }
-            if (m_out.empty())
+            if (m_outgoing.empty())
                 return;
             m_caller->startStream();
-            m_queued = m_caller->exchange().write(m_out);
+            m_queuedBytes = m_caller->exchange().write(m_outgoing);
             m_caller->positions.store(m_checker.nextPosition(), std::memory_order_relaxed);
-            if (m_keep && m_ended.answer.body.size() + m_out.size() <= m_settings.keptStreamBytes)
-                m_ended.answer.body.append(m_out);
+            if (m_storeAnswer && m_report.answer.body.size() + m_outgoing.size() <= m_settings.maxStoredStreamBytes)
+                m_report.answer.body.append(m_outgoing);
             else
-                dropKept();
+                discardStoredAnswer();
         }
 
-        // A resend must get the whole answer or none: a part would look complete to it.
-        void dropKept()
+        // A resend must get the complete response or none, because a partial one would look complete to the caller.
+        void discardStoredAnswer()
         {
-            m_keep = false;
-            m_ended.answer.body.clear();
+            m_storeAnswer = false;
+            m_report.answer.body.clear();
         }
 
         AttemptEnd classify(const net::TransferResult& result) const
@@ -255,28 +262,28 @@
                 return AttemptEnd::NotResumable;
             if (m_status && m_status != 200)
                 return AttemptEnd::Rejected;
-            if (m_crossed || m_checker.fault() == delivery::StreamFault::Crossed
+            if (m_wrongRequestId || m_checker.fault() == delivery::StreamFault::Crossed
                 || m_checker.fault() == delivery::StreamFault::Gap)
                 return AttemptEnd::Crossed;
-            // The target's own end mark counts, not the end of the connection: a cut stream may look like a finished
-            // one.
+            // Only the target's end-of-stream event marks completion, because a truncated stream may look like one that
+            // ended normally.
             if (m_checker.done())
                 return AttemptEnd::Completed;
-            const AttemptEnd end = endOf(result);
+            const AttemptEnd end = toAttemptEnd(result);
             return end == AttemptEnd::Completed ? AttemptEnd::Broken : end;
         }
 
         void onEnd(const net::TransferResult& result) override
         {
             const AttemptEnd end = classify(result);
-            m_ended.nextPosition = m_checker.nextPosition();
-            m_ended.cost = static_cast<double>(m_checker.nextPosition());
+            m_report.nextPosition = m_checker.nextPosition();
+            m_report.cost = static_cast<double>(m_checker.nextPosition());
             if (end == AttemptEnd::Completed) {
-                m_ended.cost = std::max(m_ended.cost, costIn(json::parse(m_ended.usage, nullptr, false)));
-                if (m_keep) {
-                    m_ended.answer.httpStatus = 200;
-                    m_ended.answer.contentType = "text/event-stream";
-                    m_ended.answer.body += "event: outcome\ndata: "
+                m_report.cost = std::max(m_report.cost, reportedCost(json::parse(m_report.usage, nullptr, false)));
+                if (m_storeAnswer) {
+                    m_report.answer.httpStatus = 200;
+                    m_report.answer.contentType = "text/event-stream";
+                    m_report.answer.body += "event: outcome\ndata: "
                         + json { { "outcome", "completed" }, { "requestId", m_caller->idText() } }.dump() + "\n\n";
                 }
             }
@@ -284,22 +291,22 @@
         }
 
         delivery::StreamChecker m_checker;
-        std::string m_out;
-        std::size_t m_queued = 0;
-        bool m_crossed = false;
-        bool m_keep;
+        std::string m_outgoing;
+        std::size_t m_queuedBytes = 0;
+        bool m_wrongRequestId = false;
+        bool m_storeAnswer;
     };
 
 } // namespace
 
-Attempts::Attempts(net::HttpClient& client, Inbox& inbox, const RelaySettings& settings)
+AttemptSender::AttemptSender(net::HttpClient& client, EventQueue& eventQueue, const RelaySettings& settings)
     : m_client(client)
-    , m_inbox(inbox)
+    , m_eventQueue(eventQueue)
     , m_settings(settings)
 {
 }
 
-net::TransferId Attempts::start(const std::shared_ptr<CallerRequest>& caller, const routing::StartAttempt& action)
+net::TransferId AttemptSender::start(const std::shared_ptr<CallerRequest>& caller, const routing::StartAttempt& action)
 {
     net::ClientRequest request;
     request.method = "POST";
@@ -307,7 +314,7 @@
         = "http://" + action.address + (action.mode == config::TargetMode::Engine ? "/v1/generate" : "/v1/call");
     request.body = caller->request().body;
     copyHeaders(targetHeaders, caller->request(), request);
-    request.headers.push_back({ std::string(identityHeader), caller->idText() });
+    request.headers.push_back({ std::string(requestIdHeader), caller->idText() });
     request.headers.push_back({ "Sagechute-Customer", caller->customer().value });
     if (action.resumeFrom)
         request.headers.push_back({ "Sagechute-Resume-From", std::to_string(*action.resumeFrom) });
@@ -316,18 +323,19 @@
     request.freshConnection = action.freshConnection;
     if (!action.streamed)
         return m_client.start(
-            std::move(request), std::make_unique<WholeSink>(caller, action.attempt, m_inbox, m_settings));
+            std::move(request), std::make_unique<BufferedAnswerSink>(caller, action.attempt, m_eventQueue, m_settings));
     request.silenceTimeout = action.tokenGapLimit;
-    const bool keep = !action.resumeFrom && net::findField(caller->request().headers, "Sagechute-Session").has_value();
+    const bool storeAnswer
+        = !action.resumeFrom && net::findField(caller->request().headers, "Sagechute-Session").has_value();
     auto sink = std::make_unique<StreamSink>(
-        caller, action.attempt, m_inbox, m_settings, action.resumeFrom.value_or(0), keep);
+        caller, action.attempt, m_eventQueue, m_settings, action.resumeFrom.value_or(0), storeAnswer);
     const auto transfer = sink->transfer;
     const net::TransferId id = m_client.start(std::move(request), std::move(sink));
     transfer->store(id);
     return id;
 }
 
-net::TransferId Attempts::start(
+net::TransferId AttemptSender::start(
     const std::shared_ptr<CallerRequest>& caller, const routing::StartForward& action, const VmId& self)
 {
     net::ClientRequest request;
@@ -339,10 +347,10 @@
     request.connectTimeout = m_settings.connectTimeout;
     request.freshConnection = true;
     return m_client.start(
-        std::move(request), std::make_unique<ForwardSink>(caller, action.attempt, m_inbox, m_settings));
+        std::move(request), std::make_unique<ForwardSink>(caller, action.attempt, m_eventQueue, m_settings));
 }
 
-void Attempts::cancelAtTarget(const std::string& address, const std::string& requestId)
+void AttemptSender::cancelAtTarget(const std::string& address, const std::string& requestId)
 {
     class IgnoringSink final : public net::TransferSink {
         void onHeaders(int, const std::vector<net::Field>&) override { }
--- a/apps/sagechute-router/Attempt.h
+++ b/apps/sagechute-router/AttemptSender.h
@@ -1,39 +1,39 @@
 #pragma once
 
 /// @file
-/// Sends requests to targets and to other routers, and relays their answers.
+/// Sends requests to targets and other routers and relays their responses.
 
 #include "CallerRequest.h"
-#include "Inbox.h"
+#include "EventQueue.h"
 
 #include <memory>
 
 namespace sagechute::router {
 
-/// Limits of the relay.
+/// Limits on relayed responses.
 struct RelaySettings {
     std::size_t streamBufferBytes = 256 << 10; ///< Bytes queued for a slow caller before its target's stream is paused.
-    std::size_t mostAnswerBytes = 16 << 20; ///< A larger whole answer is cut off.
-    std::size_t keptStreamBytes = 256 << 10; ///< Of a streamed answer that is remembered for resends.
+    std::size_t maxAnswerBytes = 16 << 20; ///< A larger non-streamed response fails the attempt.
+    std::size_t maxStoredStreamBytes = 256 << 10; ///< A larger streamed response is not stored for resends.
     std::chrono::milliseconds connectTimeout { 500 };
 };
 
-/// Starts attempts on the client's threads; each reports its end to the inbox, once.
-class Attempts {
+/// Starts attempts on the HTTP client's threads. Each pushes exactly one AttemptEnded event to the queue.
+class AttemptSender {
 public:
-    Attempts(net::HttpClient&, Inbox&, const RelaySettings&);
+    AttemptSender(net::HttpClient&, EventQueue&, const RelaySettings&);
 
-    /// @return the transfer, for cancel().
+    /// @return the transfer id for cancel().
     net::TransferId start(const std::shared_ptr<CallerRequest>&, const routing::StartAttempt&);
     net::TransferId start(const std::shared_ptr<CallerRequest>&, const routing::StartForward&, const VmId& self);
     void cancel(net::TransferId transfer) { m_client.cancel(transfer); }
 
-    /// Tells an engine to stop a request; nobody waits for the answer.
+    /// Asks an engine to stop a request. The response is ignored.
     void cancelAtTarget(const std::string& address, const std::string& requestId);
 
 private:
     net::HttpClient& m_client;
-    Inbox& m_inbox;
+    EventQueue& m_eventQueue;
     RelaySettings m_settings;
 };
 
--- a/apps/sagechute-router/CacheWatcher.cpp
+++ b/apps/sagechute-router/CacheWatcher.cpp
@@ -11,8 +11,8 @@
 namespace {
 
     constexpr std::chrono::milliseconds longPoll { 2000 };
-    constexpr std::chrono::milliseconds askTimeout { 4000 };
-    constexpr Duration pauseAfterAnswer = std::chrono::milliseconds(250);
+    constexpr std::chrono::milliseconds pollTimeout { 4000 };
+    constexpr Duration minPollInterval = std::chrono::milliseconds(250);
 
     std::optional<std::uint64_t> prefixFromHex(const std::string& text)
     {
@@ -25,87 +25,87 @@
 
 } // namespace
 
-/// What is known of one engine's events. Written by the client's thread between an ask and its answer, else by the
-/// deciding thread.
-struct CacheWatcher::Watch {
+/// Poll state of one engine. Written by the HTTP client's thread while a poll is in flight, otherwise by the core
+/// thread.
+struct CacheWatcher::EngineWatch {
     std::string address;
-    std::uint64_t next = 0;
-    std::atomic<bool> asking { false };
-    TimePoint askAfter {};
+    std::uint64_t nextSequence = 0;
+    std::atomic<bool> requestInFlight { false };
+    TimePoint nextPollAt {};
 };
 
 class CacheWatcher::Sink final : public net::TransferSink {
 public:
-    Sink(TargetId target, std::shared_ptr<Watch> watch, Inbox& inbox)
+    Sink(TargetId target, std::shared_ptr<EngineWatch> watch, EventQueue& eventQueue)
         : m_target(std::move(target))
         , m_watch(std::move(watch))
-        , m_inbox(inbox)
+        , m_eventQueue(eventQueue)
     {
     }
 
 private:
-    static constexpr std::size_t mostBytes = 1 << 20;
+    static constexpr std::size_t maxBodyBytes = 1 << 20;
 
     void onHeaders(int status, const std::vector<net::Field>&) override { m_status = status; }
 
     bool onBody(std::string_view bytes) override
     {
-        if (m_body.size() + bytes.size() <= mostBytes)
+        if (m_body.size() + bytes.size() <= maxBodyBytes)
             m_body.append(bytes);
         return true;
     }
 
     void onEnd(const net::TransferResult& result) override
     {
-        const bool answered = net::isUncut(result.end) && m_status == 200;
-        if (!answered || !take(json::parse(m_body, nullptr, false)))
-            m_inbox.push(routing::PrefixesUnknown { m_target });
-        m_watch->asking.store(false, std::memory_order_release);
+        const bool succeeded = net::isUncut(result.end) && m_status == 200;
+        if (!succeeded || !applyDocument(json::parse(m_body, nullptr, false)))
+            m_eventQueue.push(routing::PrefixesUnknown { m_target });
+        m_watch->requestInFlight.store(false, std::memory_order_release);
     }
 
-    bool take(const json& document)
+    bool applyDocument(const json& document)
     {
         if (!document.is_object() || !document.contains("events") || !document["events"].is_array())
             return false;
         for (const json& it : document["events"]) {
-            if (!takeEvent(it))
+            if (!applyEvent(it))
                 return false;
         }
         return true;
     }
 
-    bool takeEvent(const json& event)
+    bool applyEvent(const json& event)
     {
-        const bool formed = event.is_object() && event.contains("seq") && event["seq"].is_number_unsigned()
+        const bool wellFormed = event.is_object() && event.contains("seq") && event["seq"].is_number_unsigned()
             && event.contains("kind") && event["kind"].is_string() && event.contains("prefix")
             && event["prefix"].is_string();
-        const auto prefix = formed ? prefixFromHex(event["prefix"].get<std::string>()) : std::nullopt;
+        const auto prefix = wellFormed ? prefixFromHex(event["prefix"].get<std::string>()) : std::nullopt;
         if (!prefix)
             return false;
         const auto sequence = event["seq"].get<std::uint64_t>();
-        if (sequence > m_watch->next && m_watch->next)
-            m_inbox.push(routing::PrefixesUnknown { m_target });
-        m_watch->next = sequence + 1;
-        m_inbox.push(routing::PrefixChanged { m_target, *prefix, event["kind"] == "stored" });
+        if (sequence > m_watch->nextSequence && m_watch->nextSequence)
+            m_eventQueue.push(routing::PrefixesUnknown { m_target });
+        m_watch->nextSequence = sequence + 1;
+        m_eventQueue.push(routing::PrefixChanged { m_target, *prefix, event["kind"] == "stored" });
         return true;
     }
 
     TargetId m_target;
-    std::shared_ptr<Watch> m_watch;
-    Inbox& m_inbox;
+    std::shared_ptr<EngineWatch> m_watch;
+    EventQueue& m_eventQueue;
     std::string m_body;
     int m_status = 0;
 };
 
-CacheWatcher::CacheWatcher(net::HttpClient& client, Inbox& inbox)
+CacheWatcher::CacheWatcher(net::HttpClient& client, EventQueue& eventQueue)
     : m_client(client)
-    , m_inbox(inbox)
+    , m_eventQueue(eventQueue)
 {
 }
 
 void CacheWatcher::follow(const std::vector<config::Target>& targets)
 {
-    std::map<TargetId, std::shared_ptr<Watch>> watches;
+    std::map<TargetId, std::shared_ptr<EngineWatch>> watches;
     for (const config::Target& it : targets) {
         if (it.mode != config::TargetMode::Engine)
             continue;
@@ -114,7 +114,7 @@
             watches.insert(*known);
             continue;
         }
-        auto watch = std::make_shared<Watch>();
+        auto watch = std::make_shared<EngineWatch>();
         watch->address = it.address;
         watches.emplace(it.name, std::move(watch));
     }
@@ -124,20 +124,20 @@
 void CacheWatcher::poll(TimePoint now)
 {
     for (const auto& [target, watch] : m_watches) {
-        if (now >= watch->askAfter && !watch->asking.load(std::memory_order_acquire))
-            ask(now, target, watch);
+        if (now >= watch->nextPollAt && !watch->requestInFlight.load(std::memory_order_acquire))
+            sendPoll(now, target, watch);
     }
 }
 
-void CacheWatcher::ask(TimePoint now, const TargetId& target, const std::shared_ptr<Watch>& watch)
+void CacheWatcher::sendPoll(TimePoint now, const TargetId& target, const std::shared_ptr<EngineWatch>& watch)
 {
-    watch->asking.store(true);
-    watch->askAfter = now + pauseAfterAnswer;
+    watch->requestInFlight.store(true);
+    watch->nextPollAt = now + minPollInterval;
     net::ClientRequest request;
-    request.url = "http://" + watch->address + "/v1/cache-events?from=" + std::to_string(watch->next)
+    request.url = "http://" + watch->address + "/v1/cache-events?from=" + std::to_string(watch->nextSequence)
         + "&wait=" + std::to_string(longPoll.count());
-    request.totalTimeout = askTimeout;
-    m_client.start(std::move(request), std::make_unique<Sink>(target, watch, m_inbox));
+    request.totalTimeout = pollTimeout;
+    m_client.start(std::move(request), std::make_unique<Sink>(target, watch, m_eventQueue));
 }
 
 } // namespace sagechute::router
--- a/apps/sagechute-router/CacheWatcher.h
+++ b/apps/sagechute-router/CacheWatcher.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// Follows the cache events of the engines whose cells this router owns.
+/// Tracks prefix cache events of the engines whose cells this router owns.
 
-#include "Inbox.h"
+#include "EventQueue.h"
 
 #include <sagechute/Net.h>
 
@@ -11,30 +11,30 @@
 
 namespace sagechute::router {
 
-/// Long-polls each followed engine and hands what it hears to the deciding thread. Events come late and with gaps: a
-/// gap means that evictions may have been missed, and work would be sent where its prefix no longer is; so a gap makes
-/// all knowledge of that engine void.
+/// Long-polls each watched engine and forwards its cache events to the core thread. Events may be delayed or lost.
+/// After a gap in the sequence numbers an eviction may have been missed, and requests would be routed to an engine that
+/// no longer caches their prefix, so all cached prefixes recorded for that engine are invalidated.
 class CacheWatcher {
 public:
-    /// @param client outlives the watcher, as does @p inbox.
-    CacheWatcher(net::HttpClient& client, Inbox& inbox);
+    /// @p client and @p eventQueue must outlive the watcher.
+    CacheWatcher(net::HttpClient& client, EventQueue& eventQueue);
 
-    /// Follows exactly these targets from now on; those that are no engines are left out. Call it on the deciding
-    /// thread.
+    /// Replaces the set of watched targets. Targets that are not engines are ignored. Call on the core thread.
     void follow(const std::vector<config::Target>&);
 
-    /// Asks the engines whose last answer has come or is overdue. Call it on the deciding thread, a few times a second.
+    /// Starts a poll of each engine that has none in flight, at the minimum poll interval. Call on the core thread a
+    /// few times a second.
     void poll(TimePoint now);
 
 private:
-    struct Watch;
+    struct EngineWatch;
     class Sink;
 
-    void ask(TimePoint now, const TargetId&, const std::shared_ptr<Watch>&);
+    void sendPoll(TimePoint now, const TargetId&, const std::shared_ptr<EngineWatch>&);
 
     net::HttpClient& m_client;
-    Inbox& m_inbox;
-    std::map<TargetId, std::shared_ptr<Watch>> m_watches;
+    EventQueue& m_eventQueue;
+    std::map<TargetId, std::shared_ptr<EngineWatch>> m_watches;
 };
 
 } // namespace sagechute::router
--- a/apps/sagechute-router/CallerHeaders.cpp
+++ b/apps/sagechute-router/CallerHeaders.cpp
@@ -9,17 +9,19 @@
 
 namespace {
 
-    constexpr std::string_view bearer = "Bearer ";
-    constexpr std::uint64_t longestDeadlineMs = 24ULL * 3600 * 1000;
-    constexpr double largestHint = 1e9;
+    constexpr std::string_view bearerScheme = "Bearer ";
+    constexpr std::uint64_t maxDeadlineMs = 24ULL * 3600 * 1000;
+    constexpr double maxCostHint = 1e9;
 
-    /// Blocks of 256 bytes of the prompt whose prefix hashes are offered: few, since each costs 9 bytes on the wire.
-    constexpr std::size_t prefixBlock = 256;
-    constexpr std::size_t offeredBlocks[] = { 1, 4, 16 };
+    /// The prompt prefixes that are hashed for cache affinity, in blocks of 256 bytes. Only a few, because each hash
+    /// adds 9 bytes to the messages between routers.
+    constexpr std::size_t prefixBlockBytes = 256;
+    constexpr std::size_t offeredPrefixBlocks[] = { 1, 4, 16 };
 
     absl::Status badHeader(std::string_view name, std::string_view expected)
     {
-        return makeError(ErrorKind::BadRequest, "the header " + std::string(name) + " has a value that can't be read",
+        return makeError(ErrorKind::BadRequest,
+            "the header " + std::string(name) + " is missing or has an invalid value",
             "send " + std::string(expected) + " or leave the header out");
     }
 
@@ -29,16 +31,16 @@
         return ec == std::errc {} && end == text.data() + text.size();
     }
 
-    std::vector<std::uint64_t> prefixesOf(const std::string& body)
+    std::vector<std::uint64_t> prefixHashes(const std::string& body)
     {
         const auto document = nlohmann::json::parse(body, nullptr, false);
         if (!document.is_object() || !document.contains("prompt") || !document["prompt"].is_string())
             return {};
         const auto& prompt = document["prompt"].get_ref<const std::string&>();
         std::vector<std::uint64_t> result;
-        for (std::size_t blocks : offeredBlocks) {
-            if (prompt.size() >= blocks * prefixBlock)
-                result.push_back(stableHash(std::string_view(prompt).substr(0, blocks * prefixBlock)));
+        for (std::size_t blocks : offeredPrefixBlocks) {
+            if (prompt.size() >= blocks * prefixBlockBytes)
+                result.push_back(stableHash(std::string_view(prompt).substr(0, blocks * prefixBlockBytes)));
         }
         return result;
     }
@@ -63,7 +65,7 @@
 std::string_view bearerKey(const net::ServerRequest& request)
 {
     const auto value = net::findField(request.headers, "Authorization");
-    return value && value->starts_with(bearer) ? value->substr(bearer.size()) : std::string_view {};
+    return value && value->starts_with(bearerScheme) ? value->substr(bearerScheme.size()) : std::string_view {};
 }
 
 absl::StatusOr<routing::RequestArrived> readArrival(
@@ -78,13 +80,13 @@
     }
     if (auto value = net::findField(request.headers, "Sagechute-Deadline-Ms")) {
         std::uint64_t ms = 0;
-        if (!parseNumber(*value, ms) || ms == 0 || ms > longestDeadlineMs)
+        if (!parseNumber(*value, ms) || ms == 0 || ms > maxDeadlineMs)
             return badHeader("Sagechute-Deadline-Ms", "whole milliseconds from 1 to 86400000");
         arrival.deadlineIn = std::chrono::milliseconds(ms);
     }
     if (auto value = net::findField(request.headers, "Sagechute-Cost-Hint")) {
         if (!parseNumber(*value, arrival.hint) || !std::isfinite(arrival.hint) || arrival.hint < 0
-            || arrival.hint > largestHint)
+            || arrival.hint > maxCostHint)
             return badHeader("Sagechute-Cost-Hint", "a number of cost units from 0 to 1e9");
     }
     if (absl::Status status = readSession(request, arrival); !status.ok())
@@ -94,7 +96,7 @@
     arrival.forwarded = net::findField(request.headers, "Sagechute-Forwarded").has_value();
     arrival.bodyHash = stableHash(request.body, stableHash(request.path));
     if (mode == config::TargetMode::Engine)
-        arrival.prefixes = prefixesOf(request.body);
+        arrival.prefixes = prefixHashes(request.body);
     return arrival;
 }
 
--- a/apps/sagechute-router/CallerRequest.cpp
+++ b/apps/sagechute-router/CallerRequest.cpp
@@ -47,15 +47,16 @@
             { "Sagechute-Outcome", "streaming" }, { "Sagechute-Request-Id", m_idText } });
 }
 
-void CallerRequest::answer(const delivery::KeptAnswer& kept)
+void CallerRequest::answer(const delivery::KeptAnswer& stored)
 {
-    const bool events = kept.contentType.starts_with("text/event-stream");
+    const bool events = stored.contentType.starts_with("text/event-stream");
     net::ServerResponse response;
-    response.status = kept.httpStatus;
-    response.body = kept.body;
-    response.headers = { { "Content-Type", kept.contentType.empty() ? "application/octet-stream" : kept.contentType },
-        { "Sagechute-Outcome", events ? "streaming" : std::string(toString(kept.outcome)) },
-        { "Sagechute-Request-Id", kept.requestId.empty() ? m_idText : kept.requestId } };
+    response.status = stored.httpStatus;
+    response.body = stored.body;
+    response.headers
+        = { { "Content-Type", stored.contentType.empty() ? "application/octet-stream" : stored.contentType },
+              { "Sagechute-Outcome", events ? "streaming" : std::string(toString(stored.outcome)) },
+              { "Sagechute-Request-Id", stored.requestId.empty() ? m_idText : stored.requestId } };
     m_exchange->respond(std::move(response));
 }
 
--- a/apps/sagechute-router/CallerRequest.h
+++ b/apps/sagechute-router/CallerRequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The caller's side of one request: its body until it is sent, and the way its answer takes.
+/// A caller's request and the HTTP exchange on which it is answered.
 
 #include <sagechute/Delivery.h>
 #include <sagechute/Net.h>
@@ -13,11 +13,12 @@
 
 namespace sagechute::router {
 
-/// Shared by the HTTP thread that took the request, the client thread that relays the answer, and the thread that
-/// decides.
+/// Shared by the HTTP thread that received the request, the client thread that relays the response, and the core
+/// thread.
 class CallerRequest {
 public:
-    /// Counts the request in until it is destroyed. @p counters has been entered by the maker.
+    /// The request counts against the customer's admission limits until it is destroyed; the creator has already called
+    /// enter() on the counters.
     CallerRequest(RequestId, CustomerId, std::shared_ptr<net::ServerExchange>,
         std::shared_ptr<delivery::AdmissionCounters>, bool streamed);
     ~CallerRequest();
@@ -31,26 +32,27 @@
     net::ServerExchange& exchange() { return *m_exchange; }
     bool streamed() const { return m_streamed; }
 
-    /// It stopped waiting: its body no longer counts against the customer's queue. Only the first call counts.
+    /// Marks the request as no longer queued: it stops counting against the customer's queue limits. Only the first
+    /// call has an effect.
     void leaveQueue();
 
-    /// Starts the streamed answer; only the first call has an effect.
+    /// Starts the streamed response. Only the first call has an effect.
     void startStream();
     bool streamStarted() const { return m_streamStarted.load(std::memory_order_acquire); }
 
-    /// Gives a whole answer.
+    /// Sends a complete response.
     void answer(const delivery::KeptAnswer&);
 
-    /// Tells the caller that its request did not end in a complete answer.
+    /// Reports that the request did not end in a complete response.
     void refuse(Outcome, const absl::Status&, std::optional<std::chrono::seconds> retryAfter);
 
-    /// Ends a streamed answer with its outcome event.
+    /// Ends a streamed response with an outcome event.
     void endStream(Outcome, const absl::Status&, const std::string& usage);
 
-    /// Service relayed so far, for progress reports.
+    /// Stream position relayed so far, for progress reports to the core.
     std::atomic<std::uint64_t> positions { 0 };
 
-    /// The transfer to resume when the caller has taken what was queued; 0 for none.
+    /// The paused transfer to resume when the caller's write queue has drained; 0 for none.
     std::atomic<net::TransferId> pausedTransfer { 0 };
 
 private:
--- a/apps/sagechute-router/CallerGate.cpp
+++ b/apps/sagechute-router/CallerRequestHandler.cpp
@@ -1,4 +1,4 @@
-#include "CallerGate.h"
+#include "CallerRequestHandler.h"
 
 #include "CallerHeaders.h"
 
@@ -14,31 +14,30 @@
 
     constexpr std::string_view servicePrefix = "/v1/services/";
     constexpr std::string_view requestsSuffix = "/requests";
-    constexpr std::chrono::seconds retrySoon { 1 };
+    constexpr std::chrono::seconds retryDelay { 1 };
 
     absl::Status unknownKey()
     {
-        return makeError(ErrorKind::Unauthenticated, "the request carries no key of a customer",
+        return makeError(ErrorKind::Unauthenticated, "the Authorization header holds no known customer key",
             "send the customer's key as 'Authorization: Bearer KEY'");
     }
 
-    /// A refusal that certainly ran nothing, before the request got an identity.
-    void refuseEarly(net::ServerExchange& exchange, const absl::Status& status)
+    /// Rejects a request before it gets a request id. It has certainly not run at any target.
+    void rejectBeforeAdmission(net::ServerExchange& exchange, const absl::Status& status)
     {
         json document = errorDocument(status);
         document["outcome"] = toString(Outcome::NotRun);
         net::ServerResponse response = net::jsonResponse(httpStatus(errorKind(status)), document);
         response.headers.push_back({ "Sagechute-Outcome", std::string(toString(Outcome::NotRun)) });
-        const bool waitingHelps = response.status == 429 || response.status == 503;
-        if (waitingHelps)
-            response.headers.push_back({ "Retry-After", std::to_string(retrySoon.count()) });
+        const bool retryable = response.status == 429 || response.status == 503;
+        if (retryable)
+            response.headers.push_back({ "Retry-After", std::to_string(retryDelay.count()) });
         exchange.respond(std::move(response));
     }
 
-    /// @return the VMs that own cells of a service's pool, sorted; empty when the service is unknown. Also when its
-    /// requests may not be
-    /// repeated: those go to the router that holds their session, wherever they arrive.
-    std::vector<VmId> ownersOf(const routing::RoutingSnapshot& snapshot, std::string_view name)
+    /// @return the VMs that own cells of a service's pool, sorted. Empty if the service is unknown or its requests are
+    /// not repeatable: those are forwarded to the router that holds their session, wherever they arrive.
+    std::vector<VmId> ownerVms(const routing::RoutingSnapshot& snapshot, std::string_view name)
     {
         const config::Service* service = snapshot.config->findService(ServiceId { std::string(name) });
         if (!service || !service->repeatable)
@@ -50,8 +49,8 @@
         return {};
     }
 
-    /// @return the service's name in ".../services/NAME/requests", or an empty text.
-    std::string_view serviceIn(std::string_view path)
+    /// @return NAME from "/v1/services/NAME/requests", or an empty string for other paths.
+    std::string_view serviceFromPath(std::string_view path)
     {
         if (!path.starts_with(servicePrefix) || !path.ends_with(requestsSuffix))
             return {};
@@ -62,27 +61,28 @@
 
 } // namespace
 
-const CallerGate::NamedRoute CallerGate::routes[] = {
-    { "GET", "/v1/locate", &CallerGate::locate },
-    { "GET", "/v1/status", &CallerGate::status },
-    { "GET", "/healthz", &CallerGate::health },
-    { "GET", "/readyz", &CallerGate::ready },
-    { "GET", "/metrics", &CallerGate::metrics },
+const CallerRequestHandler::NamedRoute CallerRequestHandler::routes[] = {
+    { "GET", "/v1/locate", &CallerRequestHandler::locate },
+    { "GET", "/v1/status", &CallerRequestHandler::status },
+    { "GET", "/healthz", &CallerRequestHandler::health },
+    { "GET", "/readyz", &CallerRequestHandler::ready },
+    { "GET", "/metrics", &CallerRequestHandler::metrics },
 };
 
-CallerGate::CallerGate(const RcuSnapshot& snapshot, Inbox& inbox, StatusBoard& board, const RouterLife& life)
+CallerRequestHandler::CallerRequestHandler(
+    const RcuSnapshot& snapshot, EventQueue& eventQueue, StatusExporter& statusExporter, const RouterLife& life)
     : m_snapshot(snapshot)
-    , m_inbox(inbox)
-    , m_board(board)
+    , m_eventQueue(eventQueue)
+    , m_statusExporter(statusExporter)
     , m_life(life)
 {
 }
 
-void CallerGate::handle(const std::shared_ptr<net::ServerExchange>& exchange)
+void CallerRequestHandler::handle(const std::shared_ptr<net::ServerExchange>& exchange)
 {
     const net::ServerRequest& request = exchange->request();
-    if (const std::string_view service = serviceIn(request.path); !service.empty() && request.method == "POST") {
-        take(exchange, service);
+    if (const std::string_view service = serviceFromPath(request.path); !service.empty() && request.method == "POST") {
+        admit(exchange, service);
         return;
     }
     for (const NamedRoute& it : routes) {
@@ -91,15 +91,15 @@
         if (it.method == request.method)
             (this->*it.route)(exchange);
         else
-            exchange->respond(net::errorResponse(
-                makeError(ErrorKind::BadRequest, "this path knows another method", "use " + std::string(it.method))));
+            exchange->respond(net::errorResponse(makeError(ErrorKind::BadRequest,
+                "this path does not support the request's method", "use " + std::string(it.method))));
         return;
     }
     exchange->respond(net::errorResponse(
-        makeError(ErrorKind::NotFound, "there is nothing at this path", "see docs/callers.md for the paths")));
+        makeError(ErrorKind::NotFound, "no route matches this path", "see docs/callers.md for the paths")));
 }
 
-void CallerGate::take(const std::shared_ptr<net::ServerExchange>& exchange, std::string_view serviceName)
+void CallerRequestHandler::admit(const std::shared_ptr<net::ServerExchange>& exchange, std::string_view serviceName)
 {
     const net::ServerRequest& request = exchange->request();
     CustomerId customer;
@@ -109,11 +109,11 @@
         const RcuSnapshot::Guard snapshot(m_snapshot);
         const config::Customer* found = snapshot->config->customerByKey(bearerKey(request));
         if (!found) {
-            // Without configuration nobody's key is known: that is this router's fault, not the caller's.
-            const bool unconfigured = !snapshot->config->offset;
-            refuseEarly(*exchange,
-                unconfigured ? makeError(ErrorKind::CutOff, snapshot->notReady, "send it to another address")
-                             : unknownKey());
+            // Before the configuration is loaded no key is known, so the failure is this router's and not the caller's.
+            const bool noConfiguration = !snapshot->config->offset;
+            rejectBeforeAdmission(*exchange,
+                noConfiguration ? makeError(ErrorKind::CutOff, snapshot->notReady, "send it to another address")
+                                : unknownKey());
             return;
         }
         customer = found->name;
@@ -123,22 +123,22 @@
     }
     auto arrival = readArrival(request, customer, mode);
     if (!arrival.ok()) {
-        refuseEarly(*exchange, arrival.status());
+        rejectBeforeAdmission(*exchange, arrival.status());
         return;
     }
-    const auto counters = countersOf(customer);
+    const auto counters = countersFor(customer);
     if (absl::Status status = counters->enter(limits, request.body.size()); !status.ok()) {
-        refuseEarly(*exchange, status);
+        rejectBeforeAdmission(*exchange, status);
         return;
     }
-    arrival->id = RequestId { m_life, ++m_serial };
+    arrival->id = RequestId { m_life, ++m_requestSerial };
     arrival->service.value = serviceName;
     const bool streamed = arrival->streamed && mode == config::TargetMode::Engine;
     auto caller = std::make_shared<CallerRequest>(arrival->id, customer, exchange, counters, streamed);
-    m_inbox.push(std::move(*arrival), std::move(caller));
+    m_eventQueue.push(std::move(*arrival), std::move(caller));
 }
 
-void CallerGate::locate(const std::shared_ptr<net::ServerExchange>& exchange)
+void CallerRequestHandler::locate(const std::shared_ptr<net::ServerExchange>& exchange)
 {
     const auto zone = net::findField(exchange->request().query, "zone");
     const RcuSnapshot::Guard snapshot(m_snapshot);
@@ -149,17 +149,17 @@
     std::vector<routing::LocateEntry> routers = snapshot->routers;
     const std::uint64_t serial = ++m_sessionSerial;
     const auto service = net::findField(exchange->request().query, "service");
-    const std::vector<VmId> owners = service ? ownersOf(*snapshot, *service) : std::vector<VmId> {};
+    const std::vector<VmId> owners = service ? ownerVms(*snapshot, *service) : std::vector<VmId> {};
     if (!routers.empty()) {
-        const std::size_t turn = serial % routers.size();
-        std::rotate(routers.begin(), routers.begin() + static_cast<std::ptrdiff_t>(turn), routers.end());
+        const std::size_t rotation = serial % routers.size();
+        std::rotate(routers.begin(), routers.begin() + static_cast<std::ptrdiff_t>(rotation), routers.end());
     }
     const auto prefer = [&routers](const auto& rule) { std::stable_partition(routers.begin(), routers.end(), rule); };
-    prefer([&](const auto& it) { return it.life == m_life; }); // It holds the session.
+    prefer([&](const auto& it) { return it.life == m_life; }); // This router holds the new session.
     if (zone)
         prefer([&](const auto& it) { return it.zone.value == *zone; });
-    // What arrives at an owner of the service's pool is scheduled there without a message between routers. That
-    // outweighs a millisecond between availability zones.
+    // A router that owns cells of the service's pool schedules the request without a message to another router. That
+    // saves more than the millisecond that crossing availability zones costs.
     prefer([&](const auto& it) { return std::binary_search(owners.begin(), owners.end(), it.life.vm); });
     json addresses = json::array();
     for (const routing::LocateEntry& it : routers)
@@ -170,17 +170,17 @@
             { "session", delivery::makeSession(m_life, serial) } }));
 }
 
-void CallerGate::status(const std::shared_ptr<net::ServerExchange>& exchange)
+void CallerRequestHandler::status(const std::shared_ptr<net::ServerExchange>& exchange)
 {
-    exchange->respond(net::jsonResponse(200, m_board.statusDocument()));
+    exchange->respond(net::jsonResponse(200, m_statusExporter.statusDocument()));
 }
 
-void CallerGate::health(const std::shared_ptr<net::ServerExchange>& exchange)
+void CallerRequestHandler::health(const std::shared_ptr<net::ServerExchange>& exchange)
 {
     exchange->respond(net::jsonResponse(200, { { "status", "ok" } }));
 }
 
-void CallerGate::ready(const std::shared_ptr<net::ServerExchange>& exchange)
+void CallerRequestHandler::ready(const std::shared_ptr<net::ServerExchange>& exchange)
 {
     std::string reason;
     {
@@ -193,15 +193,15 @@
         exchange->respond(net::jsonResponse(503, { { "status", "not-ready" }, { "reason", reason } }));
 }
 
-void CallerGate::metrics(const std::shared_ptr<net::ServerExchange>& exchange)
+void CallerRequestHandler::metrics(const std::shared_ptr<net::ServerExchange>& exchange)
 {
     net::ServerResponse response;
     response.headers = { { "Content-Type", "text/plain; version=0.0.4" } };
-    response.body = m_board.exposition();
+    response.body = m_statusExporter.exposition();
     exchange->respond(std::move(response));
 }
 
-std::shared_ptr<delivery::AdmissionCounters> CallerGate::countersOf(const CustomerId& customer)
+std::shared_ptr<delivery::AdmissionCounters> CallerRequestHandler::countersFor(const CustomerId& customer)
 {
     std::lock_guard lock(m_countersMutex);
     auto& counters = m_counters[customer];
--- a/apps/sagechute-router/CallerGate.h
+++ b/apps/sagechute-router/CallerRequestHandler.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// The HTTP interface: callers' requests, "which address", status, health and metrics.
+/// HTTP interface: caller requests, router lookup, status, health and metrics.
 
-#include "Inbox.h"
+#include "EventQueue.h"
 #include "RcuSnapshot.h"
-#include "StatusBoard.h"
+#include "StatusExporter.h"
 
 #include <sagechute/Net.h>
 
@@ -14,16 +14,16 @@
 
 namespace sagechute::router {
 
-/// Runs on the HTTP threads: checks a request as far as the published snapshot allows, and hands it to the deciding
-/// thread.
-class CallerGate {
+/// Runs on the HTTP threads. Authenticates and validates each request against the published snapshot, applies the
+/// customer's admission limits, and passes the request to the core thread.
+class CallerRequestHandler {
 public:
-    CallerGate(const RcuSnapshot&, Inbox&, StatusBoard&, const RouterLife&);
+    CallerRequestHandler(const RcuSnapshot&, EventQueue&, StatusExporter&, const RouterLife&);
 
     void handle(const std::shared_ptr<net::ServerExchange>&);
 
 private:
-    using Route = void (CallerGate::*)(const std::shared_ptr<net::ServerExchange>&);
+    using Route = void (CallerRequestHandler::*)(const std::shared_ptr<net::ServerExchange>&);
     struct NamedRoute {
         std::string_view method;
         std::string_view path;
@@ -36,15 +36,15 @@
     void health(const std::shared_ptr<net::ServerExchange>&);
     void ready(const std::shared_ptr<net::ServerExchange>&);
     void metrics(const std::shared_ptr<net::ServerExchange>&);
-    void take(const std::shared_ptr<net::ServerExchange>&, std::string_view service);
+    void admit(const std::shared_ptr<net::ServerExchange>&, std::string_view service);
 
-    std::shared_ptr<delivery::AdmissionCounters> countersOf(const CustomerId&);
+    std::shared_ptr<delivery::AdmissionCounters> countersFor(const CustomerId&);
 
     const RcuSnapshot& m_snapshot;
-    Inbox& m_inbox;
-    StatusBoard& m_board;
+    EventQueue& m_eventQueue;
+    StatusExporter& m_statusExporter;
     RouterLife m_life;
-    std::atomic<std::uint64_t> m_serial { 0 };
+    std::atomic<std::uint64_t> m_requestSerial { 0 };
     std::atomic<std::uint64_t> m_sessionSerial { 0 };
     std::mutex m_countersMutex;
     std::map<CustomerId, std::shared_ptr<delivery::AdmissionCounters>> m_counters;
--- a/apps/sagechute-router/Executor.h
+++ b/apps/sagechute-router/Executor.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// Carries out the decisions of the core.
+/// Executes the actions that the router core returns.
 
-#include "Attempt.h"
+#include "AttemptSender.h"
 #include "RcuSnapshot.h"
-#include "StatusBoard.h"
+#include "StatusExporter.h"
 
 #include <sagechute/Peer.h>
 
@@ -14,11 +14,11 @@
 
 namespace sagechute::router {
 
-/// What the executor acts on. Everything outlives it.
-struct Outlets {
-    Attempts& attempts;
+/// Objects and callbacks through which the executor performs actions. All must outlive the executor.
+struct ExecutorDependencies {
+    AttemptSender& attemptSender;
     RcuSnapshot& snapshot;
-    StatusBoard& board;
+    StatusExporter& statusExporter;
     std::function<void(const routing::SendMessage&)> sendMessage;
     std::function<void(const VmId&)> forgetPeer;
     std::function<void(const routing::SendDatagram&)> sendDatagram;
@@ -26,23 +26,23 @@
     std::function<void()> exit;
 };
 
-/// Used by the deciding thread only, so it needs no lock.
+/// Executes core actions. Not thread-safe: used on the core thread only, so it needs no lock.
 class Executor {
 public:
-    Executor(Outlets, VmId self);
+    Executor(ExecutorDependencies, VmId self);
 
-    /// A request has come in: its answer goes to @p caller.
-    void adopt(std::shared_ptr<CallerRequest> caller);
+    /// Registers a new request, whose response is sent through @p caller.
+    void addRequest(std::shared_ptr<CallerRequest> caller);
     void execute(routing::Actions);
 
-    /// @return the service relayed so far of each streamed answer that has moved since the last call.
-    std::vector<routing::AttemptProgressed> takeProgress();
+    /// @return the stream position reached by each streamed response that has advanced since the last call.
+    std::vector<routing::AttemptProgressed> collectProgress();
 
 private:
     struct Entry {
         std::shared_ptr<CallerRequest> caller;
         net::TransferId transfer = 0;
-        std::uint64_t positionsTold = 0;
+        std::uint64_t reportedPositions = 0;
     };
 
     void run(routing::SendMessage&);
@@ -57,9 +57,9 @@
     void run(routing::Publish&);
     void run(routing::StopListening&);
     void run(routing::Exit&);
-    Entry* find(const RequestId&);
+    Entry* findEntry(const RequestId&);
 
-    Outlets m_outlets;
+    ExecutorDependencies m_dependencies;
     VmId m_self;
     std::unordered_map<RequestId, Entry> m_entries;
 };
--- a/apps/sagechute-router/LogReader.h
+++ b/apps/sagechute-router/LogReader.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// Reads the configuration stream on a thread of its own.
+/// Reads the configuration stream on a dedicated thread.
 
-#include "Inbox.h"
+#include "EventQueue.h"
 
 #include <sagechute/Config.h>
 #include <sagechute/Peer.h>
@@ -13,37 +13,37 @@
 
 namespace sagechute::router {
 
-/// Long-polls the log and hands what it reads to the deciding thread, which alone applies it.
+/// Long-polls the log and forwards records to the core thread, which is the only one that applies them.
 class LogReader {
 public:
-    /// @param log outlives the reader, as does @p inbox.
-    LogReader(config::LogPort& log, Inbox& inbox);
+    /// @p log and @p eventQueue must outlive the reader.
+    LogReader(config::LogPort& log, EventQueue& eventQueue);
     ~LogReader();
     LogReader(const LogReader&) = delete;
     LogReader& operator=(const LogReader&) = delete;
 
-    /// The next offset that the core lacks.
-    void setNext(LogOffset next) { m_next.store(next, std::memory_order_relaxed); }
+    /// Sets the next offset to read: the first that the core has not applied.
+    void setNextOffset(LogOffset next) { m_nextOffset.store(next, std::memory_order_relaxed); }
 
-    /// Ends the thread after the read under way.
+    /// Stops and joins the thread after the read in progress.
     void stop();
 
-    /// @return bytes of reads and answers, with an estimate of HTTP and TCP headers.
+    /// @return bytes sent and received, including an estimate of HTTP and TCP/IP headers.
     peer::ByteCount bytes() const { return { m_sent.load(), m_received.load() }; }
 
 private:
     void run();
     void readOnce();
     void readSnapshot();
-    void pause(Duration);
+    void sleepUnlessStopped(Duration);
 
     config::LogPort& m_log;
-    Inbox& m_inbox;
-    std::atomic<LogOffset> m_next { 1 };
+    EventQueue& m_eventQueue;
+    std::atomic<LogOffset> m_nextOffset { 1 };
     std::atomic<bool> m_stopped { false };
     std::atomic<std::uint64_t> m_sent { 0 };
     std::atomic<std::uint64_t> m_received { 0 };
-    bool m_snapshotTried = false;
+    bool m_snapshotChecked = false;
     std::thread m_thread;
 };
 
--- a/apps/sagechute-router/Options.cpp
+++ b/apps/sagechute-router/Options.cpp
@@ -12,7 +12,7 @@
         const auto endpoint = net::parseEndpoint(text);
         if (endpoint.ok())
             return absl::OkStatus();
-        return makeError(ErrorKind::BadRequest, "--" + std::string(name) + " '" + text + "' is not an address",
+        return makeError(ErrorKind::BadRequest, "--" + std::string(name) + " '" + text + "' is not a valid address",
             "write ADDRESS:PORT with a numeric IP address");
     }
 
@@ -23,34 +23,36 @@
     settings.requiredText("vm-id", vm, "name of this VM, unique in the fleet")
         .requiredText("zone", zone, "availability zone of this VM")
         .requiredText("platform", platform, "base URL of the platform's services")
-        .text("listen", listen, "address for callers, operators' status and metrics")
-        .text("peer-listen", peerListen, "address for message streams of other routers")
+        .text("listen", listen, "address for callers, status and metrics")
+        .text("peer-listen", peerListen, "address for message streams from other routers")
         .text("gossip-listen", gossipListen, "UDP address for gossip")
-        .list("seeds", seeds, "gossip addresses of other routers to join by")
-        .text("policy", policy, "cells, or one of the baselines static and fifo")
-        .count(
-            "cells-per-pool", cellsPerPool, 0, 4096, "parts of a pool with an owner each; 0 follows the fleet resource")
-        .count("offer-window", offerWindow, 1, 1024, "waiting requests of one customer that a router offers at a time")
+        .list("seeds", seeds, "gossip addresses of other routers through which to join the fleet")
+        .text("policy", policy, "scheduling policy: cells, or one of the baselines static and fifo")
+        .count("cells-per-pool", cellsPerPool, 0, 4096,
+            "cells per pool, each owned by one router; 0 uses the fleet resource")
+        .count("offer-window", offerWindow, 1, 1024,
+            "maximum number of waiting requests of one customer that a router offers at a time")
         .count("window-slack", windowSlack, 0, 64,
-            "requests sent to a target beyond its slots, to hide a slot's turnaround")
+            "requests sent to a target beyond its slots, to hide the turnaround time of a slot")
         .real("affinity-slack", affinitySlack, -1, 1,
-            "part of the fairness bound for prefix affinity; below 0 follows the fleet resource")
+            "share of the fairness bound for prefix affinity; negative uses the fleet resource")
         .count("http-threads", httpThreads, 1, 64, "threads that serve callers")
-        .count("client-threads", clientThreads, 1, 64, "threads that relay answers of targets")
-        .count("max-connections", maxConnections, 16, 60000, "open connections of callers")
-        .count("max-body-bytes", maxBodyBytes, 1024, 256 << 20, "largest request body")
+        .count("client-threads", clientThreads, 1, 64, "threads that relay responses from targets")
+        .count("max-connections", maxConnections, 16, 60000, "maximum number of open caller connections")
+        .count("max-body-bytes", maxBodyBytes, 1024, 256 << 20, "largest request body in bytes")
         .duration("summary-interval", summaryInterval, milliseconds(50), seconds(10),
-            "between two exchanges of service counters")
+            "interval between exchanges of service counters")
         .duration("freshness", freshness, seconds(1), seconds(60),
-            "without the log and a majority for longer, start no new work")
-        .duration("suspicion", suspicion, milliseconds(200), seconds(30), "from suspect to dead")
-        .duration("probe-interval", probeInterval, milliseconds(50), seconds(10), "between two gossip probes")
-        .duration(
-            "grant-lifetime", grantLifetime, milliseconds(50), seconds(10), "how long an unused grant holds its slot")
+            "start no new work after this time without the log and a majority")
+        .duration("suspicion", suspicion, milliseconds(200), seconds(30),
+            "time after which a suspect router is declared dead")
+        .duration("probe-interval", probeInterval, milliseconds(50), seconds(10), "interval between gossip probes")
+        .duration("grant-lifetime", grantLifetime, milliseconds(50), seconds(10),
+            "time for which an unused grant reserves its slot")
         .duration("flush-delay", flushDelay, Duration(0), milliseconds(100),
-            "messages to one router within this time leave together")
+            "messages to the same router within this time are batched")
         .text("log-level", logLevel, "debug, info, warning or error")
-        .secret("fleet-secret", fleetSecret, "proof of belonging to the fleet, the same on all VMs")
+        .secret("fleet-secret", fleetSecret, "shared secret that authenticates fleet members, the same on all VMs")
         .check([this] { return scheduling::parsePolicy(policy).status(); })
         .check([this] { return checkAddress("listen", listen); })
         .check([this] { return checkAddress("peer-listen", peerListen); })
@@ -65,8 +67,8 @@
         .check([this] {
             if (probeInterval < suspicion)
                 return absl::OkStatus();
-            return makeError(ErrorKind::BadRequest, "--probe-interval is not shorter than --suspicion",
-                "a suspect needs at least one probe to clear itself: raise --suspicion");
+            return makeError(ErrorKind::BadRequest, "--probe-interval must be shorter than --suspicion",
+                "raise --suspicion: a suspect router needs at least one probe to refute the suspicion");
         });
 }
 
--- a/apps/sagechute-router/Options.h
+++ b/apps/sagechute-router/Options.h
@@ -3,7 +3,7 @@
 /// @file
 /// Settings of the router process.
 
-#include "Attempt.h"
+#include "AttemptSender.h"
 
 #include <sagechute/Net.h>
 #include <sagechute/Peer.h>
@@ -30,7 +30,7 @@
     std::uint64_t maxBodyBytes = 4 << 20;
     std::uint64_t offerWindow = 32;
     std::uint64_t windowSlack = 1;
-    double affinitySlack = -1; ///< Below 0: what the fleet resource says.
+    double affinitySlack = -1; ///< Negative: use the value of the fleet resource.
     Duration summaryInterval = std::chrono::seconds(2);
     Duration freshness = std::chrono::seconds(4);
     Duration suspicion = std::chrono::milliseconds(1500);
@@ -38,10 +38,10 @@
     Duration grantLifetime = std::chrono::milliseconds(500);
     Duration flushDelay = std::chrono::milliseconds(2);
 
-    /// Declares the settings and their checks.
+    /// Registers the settings and their validation.
     void declare(process::Settings&);
 
-    /// @param addresses the three that callers and other routers use, with their final ports.
+    /// The addresses are those that callers and other routers connect to, with the ports actually bound.
     routing::RouterSettings routerSettings(Incarnation, const std::string& callerAddress,
         const std::string& peerAddress, const std::string& gossipAddress) const;
 };
--- a/apps/sagechute-router/RcuSnapshot.cpp
+++ b/apps/sagechute-router/RcuSnapshot.cpp
@@ -8,7 +8,7 @@
     std::shared_ptr<const routing::RoutingSnapshot> snapshot;
     rcu_head head {};
 
-    static void release(rcu_head* head) { delete caa_container_of(head, Node, head); }
+    static void destroy(rcu_head* head) { delete caa_container_of(head, Node, head); }
 };
 
 RcuSnapshot::Guard::Guard(const RcuSnapshot& owner)
@@ -39,7 +39,7 @@
     auto* node = new Node;
     node->snapshot = std::move(snapshot);
     Node* old = rcu_xchg_pointer(&m_node, node);
-    urcu_bp_call_rcu(&old->head, &Node::release);
+    urcu_bp_call_rcu(&old->head, &Node::destroy);
 }
 
 } // namespace sagechute::router
--- a/apps/sagechute-router/RcuSnapshot.h
+++ b/apps/sagechute-router/RcuSnapshot.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The routing snapshot as the HTTP threads read it.
+/// RCU-protected routing snapshot, read by the HTTP threads.
 
 #include <sagechute/Routing.h>
 
@@ -9,11 +9,13 @@
 
 namespace sagechute::router {
 
-/// Holds the newest snapshot. Readers take no lock and never wait for the writer; the bullet-proof flavour of liburcu
-/// is used because the HTTP library makes its own threads, which could not be registered before their first read.
+/// Holds the latest snapshot. Readers take no lock and never wait for the writer. Uses the "bulletproof" flavour of
+/// liburcu (urcu-bp), which registers reader threads automatically: the HTTP library creates its own threads, so they
+/// cannot be registered before their first read.
 class RcuSnapshot {
 public:
-    /// A read-side section: the snapshot stays valid until the guard is destroyed. Keep it short and do no I/O in it.
+    /// RCU read-side critical section: the snapshot stays valid until the guard is destroyed. Keep it short, without
+    /// I/O.
     class Guard {
     public:
         explicit Guard(const RcuSnapshot&);
@@ -33,7 +35,7 @@
     RcuSnapshot(const RcuSnapshot&) = delete;
     RcuSnapshot& operator=(const RcuSnapshot&) = delete;
 
-    /// Replaces the snapshot; one thread only. The old one is freed after all its readers have gone.
+    /// Replaces the snapshot. Call from one thread only. The previous one is freed after a grace period.
     void publish(std::shared_ptr<const routing::RoutingSnapshot>);
 
 private:
--- a/apps/sagechute-router/StatusBoard.cpp
+++ b/apps/sagechute-router/StatusExporter.cpp
@@ -1,4 +1,4 @@
-#include "StatusBoard.h"
+#include "StatusExporter.h"
 
 #include <nlohmann/json.hpp>
 
@@ -20,7 +20,7 @@
         return prometheus::BuildCounter().Name(name).Help(help).Register(metrics.registry());
     }
 
-    void raiseTo(prometheus::Counter& counter, std::uint64_t value)
+    void advanceCounterTo(prometheus::Counter& counter, std::uint64_t value)
     {
         const double more = static_cast<double>(value) - counter.Value();
         if (more > 0)
@@ -64,78 +64,80 @@
 
 } // namespace
 
-StatusBoard::StatusBoard()
-    : m_control(counterFamily(
-        m_metrics, "sagechute_control_bytes_total", "Bytes between routers and to the log, headers included"))
-    , m_messages(counterFamily(m_metrics, "sagechute_messages_total", "Messages to other routers by kind"))
-    , m_messageBytes(
-          counterFamily(m_metrics, "sagechute_message_bytes_total", "Payload of messages to other routers by kind"))
-    , m_requests(counterFamily(m_metrics, "sagechute_requests_total", "Requests of callers by outcome"))
-    , m_gap(gaugeFamily(m_metrics, "sagechute_fairness_gap",
-          "Largest difference of weighted service between two backlogged customers"))
-    , m_gapBound(gaugeFamily(m_metrics, "sagechute_fairness_gap_bound", "The bound that the gap stays below"))
-    , m_waiting(gaugeFamily(m_metrics, "sagechute_waiting_requests", "Requests that wait in this router"))
-    , m_running(gaugeFamily(m_metrics, "sagechute_running_requests", "Requests of this router at targets"))
-    , m_resident(gaugeFamily(m_metrics, "process_resident_memory_bytes", "Resident memory").Add({}))
-    , m_processorTime(gaugeFamily(m_metrics, "process_cpu_seconds", "Processor time of the whole process").Add({}))
-    , m_coreTime(gaugeFamily(m_metrics, "sagechute_core_cpu_seconds", "Processor time of the deciding thread").Add({}))
-    , m_configOffset(
-          gaugeFamily(m_metrics, "sagechute_config_offset", "Log offset up to which configuration is in force here")
-              .Add({}))
-    , m_undecodable(
-          gaugeFamily(m_metrics, "sagechute_undecodable_messages", "Messages of other routers that could not be read")
-              .Add({}))
+StatusExporter::StatusExporter()
+    : m_controlBytes(counterFamily(m_metrics, "sagechute_control_bytes_total",
+        "Bytes exchanged with other routers and the log, including headers"))
+    , m_messages(counterFamily(m_metrics, "sagechute_messages_total", "Messages sent to other routers, by kind"))
+    , m_messageBytes(counterFamily(
+          m_metrics, "sagechute_message_bytes_total", "Payload bytes of messages sent to other routers, by kind"))
+    , m_requests(counterFamily(m_metrics, "sagechute_requests_total", "Finished caller requests, by outcome"))
+    , m_fairnessGap(gaugeFamily(m_metrics, "sagechute_fairness_gap",
+          "Largest difference in weighted service between two backlogged customers"))
+    , m_fairnessGapBound(gaugeFamily(m_metrics, "sagechute_fairness_gap_bound", "Upper bound on the fairness gap"))
+    , m_waiting(gaugeFamily(m_metrics, "sagechute_waiting_requests", "Requests queued in this router"))
+    , m_running(
+          gaugeFamily(m_metrics, "sagechute_running_requests", "Requests of this router that are running at targets"))
+    , m_residentMemory(gaugeFamily(m_metrics, "process_resident_memory_bytes", "Resident memory in bytes").Add({}))
+    , m_processCpuTime(gaugeFamily(m_metrics, "process_cpu_seconds", "CPU time of the process in seconds").Add({}))
+    , m_coreCpuTime(
+          gaugeFamily(m_metrics, "sagechute_core_cpu_seconds", "CPU time of the core thread in seconds").Add({}))
+    , m_configOffset(gaugeFamily(
+          m_metrics, "sagechute_config_offset", "Log offset up to which this router has applied the configuration")
+                         .Add({}))
+    , m_undecodableMessages(gaugeFamily(
+          m_metrics, "sagechute_undecodable_messages", "Messages from other routers that could not be decoded")
+                                .Add({}))
 {
 }
 
-void StatusBoard::countOutcome(Outcome outcome)
+void StatusExporter::countOutcome(Outcome outcome)
 {
     m_requests.Add({ { "outcome", std::string(toString(outcome)) } }).Increment();
 }
 
-void StatusBoard::countMessage(std::string_view kind, std::size_t bytes)
+void StatusExporter::countMessage(std::string_view kind, std::size_t bytes)
 {
     const prometheus::Labels labels { { "kind", std::string(kind) } };
     m_messages.Add(labels).Increment();
     m_messageBytes.Add(labels).Increment(static_cast<double>(bytes));
 }
 
-void StatusBoard::update(const routing::RouterStatus& status, const ControlBytes& bytes, Duration coreTime)
+void StatusExporter::update(const routing::RouterStatus& status, const ControlBytes& bytes, Duration coreCpuTime)
 {
     const auto count = [this](const std::string& purpose, const peer::ByteCount& value) {
-        raiseTo(m_control.Add({ { "purpose", purpose }, { "direction", "sent" } }), value.sent);
-        raiseTo(m_control.Add({ { "purpose", purpose }, { "direction", "received" } }), value.received);
+        advanceCounterTo(m_controlBytes.Add({ { "purpose", purpose }, { "direction", "sent" } }), value.sent);
+        advanceCounterTo(m_controlBytes.Add({ { "purpose", purpose }, { "direction", "received" } }), value.received);
     };
     count("peer", bytes.peer);
     count("gossip", bytes.gossip);
     count("log", bytes.log);
     updatePools(status);
     const process::Usage usage = process::usage();
-    m_resident.Set(static_cast<double>(usage.residentBytes));
-    m_processorTime.Set(std::chrono::duration<double>(usage.processorTime).count());
-    m_coreTime.Set(std::chrono::duration<double>(coreTime).count());
+    m_residentMemory.Set(static_cast<double>(usage.residentBytes));
+    m_processCpuTime.Set(std::chrono::duration<double>(usage.processorTime).count());
+    m_coreCpuTime.Set(std::chrono::duration<double>(coreCpuTime).count());
     m_configOffset.Set(static_cast<double>(status.configOffset));
-    m_undecodable.Set(static_cast<double>(status.undecodable));
+    m_undecodableMessages.Set(static_cast<double>(status.undecodable));
     std::lock_guard lock(m_mutex);
     m_status = status;
 }
 
-void StatusBoard::updatePools(const routing::RouterStatus& status)
+void StatusExporter::updatePools(const routing::RouterStatus& status)
 {
     for (const routing::PoolStatus& it : status.pools) {
-        poolGauge(m_gap, it.pool).Set(it.measuredGap);
-        poolGauge(m_gapBound, it.pool).Set(it.gapBound);
+        poolGauge(m_fairnessGap, it.pool).Set(it.measuredGap);
+        poolGauge(m_fairnessGapBound, it.pool).Set(it.gapBound);
         poolGauge(m_waiting, it.pool).Set(it.waitingHere);
         poolGauge(m_running, it.pool).Set(it.runningHere);
     }
 }
 
-prometheus::Gauge& StatusBoard::poolGauge(prometheus::Family<prometheus::Gauge>& family, const PoolId& pool)
+prometheus::Gauge& StatusExporter::poolGauge(prometheus::Family<prometheus::Gauge>& family, const PoolId& pool)
 {
     return family.Add({ { "pool", pool.value } });
 }
 
-json StatusBoard::statusDocument() const
+json StatusExporter::statusDocument() const
 {
     routing::RouterStatus status;
     {
--- a/apps/sagechute-router/StatusBoard.h
+++ b/apps/sagechute-router/StatusExporter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the router shows of itself: status document and metrics.
+/// Exports the router's status document and metrics.
 
 #include <sagechute/Net.h>
 #include <sagechute/Peer.h>
@@ -17,23 +17,23 @@
 
 namespace sagechute::router {
 
-/// Bytes that the transports have counted, by purpose.
+/// Bytes counted by the transports, by purpose.
 struct ControlBytes {
     peer::ByteCount peer;
     peer::ByteCount gossip;
     peer::ByteCount log;
 };
 
-/// Written by the deciding thread about four times a second, read by the HTTP threads.
-class StatusBoard {
+/// Updated by the core thread about four times a second and read by the HTTP threads.
+class StatusExporter {
 public:
-    StatusBoard();
+    StatusExporter();
 
-    /// @param coreTime processor time of the deciding thread so far.
-    void update(const routing::RouterStatus&, const ControlBytes&, Duration coreTime);
+    /// @param coreCpuTime CPU time that the core thread has used so far.
+    void update(const routing::RouterStatus&, const ControlBytes&, Duration coreCpuTime);
     void countOutcome(Outcome);
 
-    /// A message to another router, by kind: payload only, the transport counts headers.
+    /// Counts a message to another router by kind. @p bytes is the payload only; the transport counts headers.
     void countMessage(std::string_view kind, std::size_t bytes);
 
     nlohmann::json statusDocument() const;
@@ -44,19 +44,19 @@
     prometheus::Gauge& poolGauge(prometheus::Family<prometheus::Gauge>&, const PoolId&);
 
     process::Metrics m_metrics;
-    prometheus::Family<prometheus::Counter>& m_control;
+    prometheus::Family<prometheus::Counter>& m_controlBytes;
     prometheus::Family<prometheus::Counter>& m_messages;
     prometheus::Family<prometheus::Counter>& m_messageBytes;
     prometheus::Family<prometheus::Counter>& m_requests;
-    prometheus::Family<prometheus::Gauge>& m_gap;
-    prometheus::Family<prometheus::Gauge>& m_gapBound;
+    prometheus::Family<prometheus::Gauge>& m_fairnessGap;
+    prometheus::Family<prometheus::Gauge>& m_fairnessGapBound;
     prometheus::Family<prometheus::Gauge>& m_waiting;
     prometheus::Family<prometheus::Gauge>& m_running;
-    prometheus::Gauge& m_resident;
-    prometheus::Gauge& m_processorTime;
-    prometheus::Gauge& m_coreTime;
+    prometheus::Gauge& m_residentMemory;
+    prometheus::Gauge& m_processCpuTime;
+    prometheus::Gauge& m_coreCpuTime;
     prometheus::Gauge& m_configOffset;
-    prometheus::Gauge& m_undecodable;
+    prometheus::Gauge& m_undecodableMessages;
     mutable std::mutex m_mutex;
     routing::RouterStatus m_status;
 };
--- a/apps/sagechute-router/main.cpp
+++ b/apps/sagechute-router/main.cpp
@@ -1,8 +1,8 @@
 /// @file
-/// The router process: wires the core to HTTP, peer streams, gossip and the log.
+/// The router process: connects the core to HTTP, peer streams, gossip and the log.
 
 #include "CacheWatcher.h"
-#include "CallerGate.h"
+#include "CallerRequestHandler.h"
 #include "Executor.h"
 #include "LogReader.h"
 #include "Options.h"
@@ -20,16 +20,16 @@
     constexpr Duration progressInterval = std::chrono::milliseconds(250);
     constexpr Duration statusInterval = std::chrono::milliseconds(250);
     constexpr std::chrono::milliseconds logTimeout { 3000 };
-    constexpr Duration answerGrace = std::chrono::seconds(2);
+    constexpr Duration flushTimeout = std::chrono::seconds(2);
 
     Incarnation newIncarnation()
     {
-        // Milliseconds since the epoch: a later start on the same VM has a larger number without anything kept.
+        // Milliseconds since the epoch, so that each restart on a VM gets a larger incarnation without stored state.
         const auto now = std::chrono::system_clock::now().time_since_epoch();
         return static_cast<Incarnation>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
     }
 
-    Duration threadTime()
+    Duration threadCpuTime()
     {
         timespec time {};
         clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -37,26 +37,26 @@
             std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec));
     }
 
-    /// Puts what other routers say into the inbox.
-    class PeerInbox final : public peer::StreamListener {
+    /// Forwards messages and connection events of other routers to the event queue.
+    class PeerListener final : public peer::StreamListener {
     public:
-        explicit PeerInbox(Inbox& inbox)
-            : m_inbox(inbox)
+        explicit PeerListener(EventQueue& eventQueue)
+            : m_eventQueue(eventQueue)
         {
         }
 
     private:
         void onMessage(const RouterLife& from, std::string_view message) override
         {
-            m_inbox.push(routing::PeerMessageReceived { from, std::string(message) });
+            m_eventQueue.push(routing::PeerMessageReceived { from, std::string(message) });
         }
-        void onUp(const RouterLife& peer) override { m_inbox.push(routing::PeerUp { peer }); }
-        void onDown(const RouterLife& peer) override { m_inbox.push(routing::PeerDown { peer }); }
+        void onUp(const RouterLife& peer) override { m_eventQueue.push(routing::PeerUp { peer }); }
+        void onDown(const RouterLife& peer) override { m_eventQueue.push(routing::PeerDown { peer }); }
 
-        Inbox& m_inbox;
+        EventQueue& m_eventQueue;
     };
 
-    /// The whole process, in the order in which its parts depend on each other.
+    /// Owns all parts of the process. Members are declared in dependency order, because they are destroyed in reverse.
     class Router {
     public:
         static absl::StatusOr<std::unique_ptr<Router>> make(const Options& options)
@@ -69,17 +69,17 @@
 
         int run(process::StopSignal& stop)
         {
-            std::thread waiter([this, &stop] {
+            std::thread stopWaiter([this, &stop] {
                 while (!m_exited.load()) {
                     if (!stop.wait(std::chrono::milliseconds(100)))
                         continue;
-                    m_inbox.push(routing::StopRequested {});
-                    return; // From now on wait() would return at once, and this loop would spin.
+                    m_eventQueue.push(routing::StopRequested {});
+                    return; // wait() returns at once after a stop signal, so looping again would spin.
                 }
             });
-            decide();
-            waiter.join();
-            flushAnswers();
+            runCore();
+            stopWaiter.join();
+            waitForOpenConnections();
             m_logReader->stop();
             process::log(process::LogLevel::Info, "stopped");
             return 0;
@@ -89,7 +89,7 @@
         explicit Router(const Options& options)
             : m_options(options)
             , m_incarnation(newIncarnation())
-            , m_peerInbox(m_inbox)
+            , m_peerListener(m_eventQueue)
         {
         }
 
@@ -101,14 +101,14 @@
             streams.self = life;
             streams.fleetSecret = m_options.fleetSecret;
             streams.flushDelay = m_options.flushDelay;
-            auto messageStreams = peer::MessageStreams::make(streams, m_peerInbox);
+            auto messageStreams = peer::MessageStreams::make(streams, m_peerListener);
             if (!messageStreams.ok())
                 return messageStreams.status();
             m_streams = std::move(*messageStreams);
 
             auto socket = peer::DatagramSocket::make(
                 m_options.gossipListen, [this](const std::string& from, std::string_view bytes) {
-                    m_inbox.push(routing::DatagramReceived { from, std::string(bytes) });
+                    m_eventQueue.push(routing::DatagramReceived { from, std::string(bytes) });
                 });
             if (!socket.ok())
                 return socket.status();
@@ -124,14 +124,14 @@
             m_logClient = std::move(*logClient);
             m_log = logservice::makeHttpLog(*m_logClient, m_options.platform, logTimeout);
 
-            m_gate = std::make_unique<CallerGate>(m_snapshot, m_inbox, m_board, life);
+            m_requestHandler = std::make_unique<CallerRequestHandler>(m_snapshot, m_eventQueue, m_statusExporter, life);
             net::ServerOptions server;
             server.listen = *net::parseEndpoint(m_options.listen);
             server.threads = static_cast<unsigned>(m_options.httpThreads);
             server.maxBodyBytes = m_options.maxBodyBytes;
             server.maxConnections = static_cast<unsigned>(m_options.maxConnections);
-            auto httpServer = net::HttpServer::make(
-                server, [this](const std::shared_ptr<net::ServerExchange>& exchange) { m_gate->handle(exchange); });
+            auto httpServer = net::HttpServer::make(server,
+                [this](const std::shared_ptr<net::ServerExchange>& exchange) { m_requestHandler->handle(exchange); });
             if (!httpServer.ok())
                 return httpServer.status();
             m_server = std::move(*httpServer);
@@ -140,19 +140,19 @@
             m_core = routing::RouterCore::make(
                 m_options.routerSettings(m_incarnation, callers, m_streams->listenAddress(), m_socket->listenAddress()),
                 std::make_unique<SeededRandom>(std::random_device {}() ^ m_incarnation));
-            m_cacheWatcher = std::make_unique<CacheWatcher>(*m_client, m_inbox);
-            m_attempts = std::make_unique<Attempts>(*m_client, m_inbox, RelaySettings {});
-            m_executor = std::make_unique<Executor>(outlets(), life.vm);
-            m_logReader = std::make_unique<LogReader>(*m_log, m_inbox);
+            m_cacheWatcher = std::make_unique<CacheWatcher>(*m_client, m_eventQueue);
+            m_attemptSender = std::make_unique<AttemptSender>(*m_client, m_eventQueue, RelaySettings {});
+            m_executor = std::make_unique<Executor>(executorDependencies(), life.vm);
+            m_logReader = std::make_unique<LogReader>(*m_log, m_eventQueue);
             process::log(process::LogLevel::Info, "listening",
                 { { "callers", callers }, { "peers", m_streams->listenAddress() },
                     { "gossip", m_socket->listenAddress() }, { "policy", m_options.policy } });
             return absl::OkStatus();
         }
 
-        Outlets outlets()
+        ExecutorDependencies executorDependencies()
         {
-            return { *m_attempts, m_snapshot, m_board,
+            return { *m_attemptSender, m_snapshot, m_statusExporter,
                 [this](const routing::SendMessage& it) {
                     m_streams->send(it.to, it.address, it.bytes, it.lazy ? peer::Urgency::Lazy : peer::Urgency::Prompt);
                 },
@@ -161,49 +161,48 @@
                 [this] { m_server->stopListening(); }, [this] { m_exited.store(true); } };
         }
 
-        // The core is done when it has handed out the last answers; their bytes may still be on the way to slow
-        // callers.
-        void flushAnswers()
+        // The core exits when it has issued the last responses. Their bytes may still be in flight to slow callers.
+        void waitForOpenConnections()
         {
-            const TimePoint end = steadyNow() + answerGrace;
+            const TimePoint end = steadyNow() + flushTimeout;
             while (m_server->openConnections() > 0 && steadyNow() < end)
                 std::this_thread::sleep_for(tickInterval);
         }
 
-        // The one thread on which the core runs.
-        void decide()
+        // Event loop of the core thread, the only thread on which the core runs.
+        void runCore()
         {
-            std::vector<Letter> letters;
+            std::vector<QueuedEvent> events;
             TimePoint nextTick = steadyNow();
             while (!m_exited.load()) {
                 const TimePoint before = steadyNow();
-                m_inbox.take(letters, std::max(Duration(0), nextTick - before));
-                for (Letter& letter : letters)
-                    handle(letter);
+                m_eventQueue.waitAndDrain(events, std::max(Duration(0), nextTick - before));
+                for (QueuedEvent& queued : events)
+                    handle(queued);
                 const TimePoint now = steadyNow();
                 if (now < nextTick)
                     continue;
                 nextTick = now + tickInterval;
                 m_executor->execute(m_core->handle(now, routing::Tick {}));
                 reportProgress(now);
-                showStatus(now);
+                updateStatus(now);
             }
         }
 
-        void handle(Letter& letter)
+        void handle(QueuedEvent& queued)
         {
-            if (letter.caller) {
-                watchCaller(letter.caller);
-                m_executor->adopt(letter.caller);
+            if (queued.caller) {
+                registerCallbacks(queued.caller);
+                m_executor->addRequest(queued.caller);
             }
-            m_executor->execute(m_core->handle(steadyNow(), std::move(letter.event)));
-            m_logReader->setNext(m_core->nextLogOffset());
+            m_executor->execute(m_core->handle(steadyNow(), std::move(queued.event)));
+            m_logReader->setNextOffset(m_core->nextLogOffset());
         }
 
-        void watchCaller(const std::shared_ptr<CallerRequest>& caller)
+        void registerCallbacks(const std::shared_ptr<CallerRequest>& caller)
         {
             const RequestId id = caller->id();
-            caller->exchange().onClosed([this, id] { m_inbox.push(routing::CallerDisconnected { id }); });
+            caller->exchange().onClosed([this, id] { m_eventQueue.push(routing::CallerDisconnected { id }); });
             if (!caller->streamed())
                 return;
             const std::weak_ptr<CallerRequest> weak = caller;
@@ -221,36 +220,36 @@
             if (now < m_nextProgress)
                 return;
             m_nextProgress = now + progressInterval;
-            for (routing::AttemptProgressed& it : m_executor->takeProgress())
+            for (routing::AttemptProgressed& it : m_executor->collectProgress())
                 m_executor->execute(m_core->handle(now, std::move(it)));
         }
 
-        void showStatus(TimePoint now)
+        void updateStatus(TimePoint now)
         {
             if (now < m_nextStatus)
                 return;
             m_nextStatus = now + statusInterval;
             m_cacheWatcher->follow(m_core->ownedTargets());
             m_cacheWatcher->poll(now);
-            m_board.update(
-                m_core->status(), { m_streams->bytes(), m_socket->bytes(), m_logReader->bytes() }, threadTime());
+            m_statusExporter.update(
+                m_core->status(), { m_streams->bytes(), m_socket->bytes(), m_logReader->bytes() }, threadCpuTime());
         }
 
         Options m_options;
         Incarnation m_incarnation;
-        Inbox m_inbox;
+        EventQueue m_eventQueue;
         RcuSnapshot m_snapshot;
-        StatusBoard m_board;
-        PeerInbox m_peerInbox;
+        StatusExporter m_statusExporter;
+        PeerListener m_peerListener;
         std::unique_ptr<routing::RouterCore> m_core;
         std::unique_ptr<net::HttpClient> m_logClient;
         std::unique_ptr<config::LogPort> m_log;
         std::unique_ptr<LogReader> m_logReader;
         std::unique_ptr<net::HttpClient> m_client;
         std::unique_ptr<CacheWatcher> m_cacheWatcher;
-        std::unique_ptr<Attempts> m_attempts;
+        std::unique_ptr<AttemptSender> m_attemptSender;
         std::unique_ptr<Executor> m_executor;
-        std::unique_ptr<CallerGate> m_gate;
+        std::unique_ptr<CallerRequestHandler> m_requestHandler;
         std::unique_ptr<net::HttpServer> m_server;
         std::unique_ptr<peer::MessageStreams> m_streams;
         std::unique_ptr<peer::DatagramSocket> m_socket;
@@ -262,7 +261,8 @@
     int runRouter(int argc, char** argv)
     {
         Options options;
-        process::Settings settings("sagechute-router", "takes callers' requests and shares targets fairly");
+        process::Settings settings(
+            "sagechute-router", "routes requests from callers and shares targets fairly among customers");
         options.declare(settings);
         if (auto code = settings.read(argc, argv))
             return *code;
