--- a/apps/sagechute-router/CacheWatcher.h
+++ b/apps/sagechute-router/CacheWatcher.h
@@ -13,7 +13,8 @@
 
 /// Long-polls each watched engine and forwards its cache events to the core thread. Events may be delayed or lost.
 /// After a gap in the sequence numbers an eviction may have been missed, and requests would be routed to an engine that
-/// no longer caches their prefix, so all cached prefixes recorded for that engine are invalidated.
+/// no longer caches their prefix, so all cached prefixes recorded for that engine are invalidated. A failed or
+/// malformed poll does the same.
 class CacheWatcher {
 public:
     /// @p client and @p eventQueue must outlive the watcher.
--- a/apps/sagechute-router/main.cpp
+++ b/apps/sagechute-router/main.cpp
@@ -56,7 +56,7 @@
         EventQueue& m_eventQueue;
     };
 
-    /// Owns all parts of the process. Members are declared in dependency order, because they are destroyed in reverse.
+    /// Owns all parts of the process, declared in the order of their dependencies.
     class Router {
     public:
         static absl::StatusOr<std::unique_ptr<Router>> make(const Options& options)
