--- a/apps/sagechute-steward/ConfigRunner.cpp
+++ b/apps/sagechute-steward/ConfigRunner.cpp
@@ -5,9 +5,9 @@
 namespace sagechute::steward {
 namespace {
 
-    /// Bounds how late a stop and a due snapshot are noticed.
+    /// Upper bound on the delay before a stop request or a due snapshot is noticed.
     constexpr std::chrono::milliseconds pollWait { 1000 };
-    constexpr Duration failureSleep = std::chrono::milliseconds(500);
+    constexpr Duration failureBackoff = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -55,8 +55,8 @@
         if (status.ok())
             writeSnapshotIfDue();
         std::unique_lock lock(m_mutex);
-        const bool isStopped
-            = m_stopping.wait_for(lock, status.ok() ? Duration::zero() : failureSleep, [this] { return m_isStopped; });
+        const bool isStopped = m_stopping.wait_for(
+            lock, status.ok() ? Duration::zero() : failureBackoff, [this] { return m_isStopped; });
         if (isStopped)
             return;
     }
@@ -65,18 +65,18 @@
 void ConfigRunner::writeSnapshotIfDue()
 {
     const TimePoint now = steadyNow();
-    m_schedule.sawLog(m_follower->logFirst(), m_follower->logEnd(), now);
-    const std::optional<LeaseHold> hold = m_lease.held(now);
+    m_schedule.observeLog(m_follower->logFirst(), m_follower->logEnd(), now);
+    const std::optional<HeldLease> hold = m_lease.held(now);
     if (!hold)
         return;
     if (hold->fencing != m_scheduleFencing) {
-        // What a former holder wrote, and when, is not known for certain: begin with a snapshot of one's own.
+        // It is not known for certain what a previous holder wrote and when, so start with a new snapshot.
         m_scheduleFencing = hold->fencing;
-        m_schedule.forgetWritten();
+        m_schedule.discardWritten();
     }
     if (!m_schedule.due(m_replica->offset(), now))
         return;
-    // Only this thread moves the replica: the snapshot covers the offset read before it.
+    // Only this thread advances the replica, so the snapshot covers exactly this offset.
     const LogOffset covers = m_replica->offset();
     const absl::Status status = m_log.append(config::snapshotStream, m_replica->snapshot()).status();
     if (!status.ok()) {
--- a/apps/sagechute-steward/ConfigRunner.h
+++ b/apps/sagechute-steward/ConfigRunner.h
@@ -6,10 +6,10 @@
 
 namespace sagechute::steward {
 
-/// Follows the configuration on a thread of its own and writes snapshots while the lease is held.
+/// Follows the configuration stream on a dedicated thread and writes snapshots while the lease is held.
 class ConfigRunner {
 public:
-    /// @param log outlives the runner, as does @p lease.
+    /// @param log must outlive the runner, as must @p lease.
     ConfigRunner(config::LogPort& log, const LeaseRunner& lease, const SnapshotSettings&);
     ~ConfigRunner();
     ConfigRunner(const ConfigRunner&) = delete;
@@ -17,7 +17,7 @@
 
     std::shared_ptr<const config::ConfigView> view() const { return m_replica->view(); }
 
-    /// @return why the configuration is not up to date, empty when it is.
+    /// @return why the configuration is not up to date; empty if it is.
     std::string problem() const;
 
     LogOffset logEnd() const { return m_follower->logEnd(); }
@@ -34,12 +34,12 @@
     const std::unique_ptr<config::LogFollower> m_follower;
     const SnapshotSettings m_settings;
     SnapshotSchedule m_schedule;
-    LogOffset m_scheduleFencing = 0; ///< The hold for which m_schedule counts.
+    LogOffset m_scheduleFencing = 0; ///< Fencing number of the lease to which m_schedule applies.
     std::atomic<std::uint64_t> m_snapshotsWritten { 0 };
     mutable std::mutex m_mutex;
     std::condition_variable m_stopping;
     bool m_isStopped = false;
-    std::string m_problem = "the log has not been read yet";
+    std::string m_problem = "the configuration log has not been read yet";
     std::thread m_thread;
 };
 
--- a/apps/sagechute-steward/Daemon.cpp
+++ b/apps/sagechute-steward/Daemon.cpp
@@ -5,19 +5,19 @@
 namespace sagechute::steward {
 namespace {
 
-    constexpr Duration turnEvery = std::chrono::milliseconds(200);
-    constexpr Duration releaseWait = std::chrono::seconds(3);
+    constexpr Duration tickInterval = std::chrono::milliseconds(200);
+    constexpr Duration releaseTimeout = std::chrono::seconds(3);
 
-    /// @return a name that no other life of this or another VM's steward has.
-    std::string lifeName(const std::string& vm)
+    /// @return a name that is unique across VMs and across restarts of the steward.
+    std::string uniqueHolderName(const std::string& vm)
     {
         const auto since = std::chrono::system_clock::now().time_since_epoch();
         return vm + "." + std::to_string(std::chrono::duration_cast<std::chrono::microseconds>(since).count());
     }
 
-    OrderSettings withStateKeep(OrderSettings settings)
+    OrderSettings withStateMaxAge(OrderSettings settings)
     {
-        settings.stateKeep = settings.stateEvery * 3 + settings.orderTimeout;
+        settings.stateMaxAge = settings.stateReadInterval * 3 + settings.orderTimeout;
         return settings;
     }
 
@@ -25,8 +25,8 @@
 
 Daemon::Daemon(const Options& options)
     : m_options(options)
-    , m_self(lifeName(options.vm))
-    , m_orders(TargetOrders::make(withStateKeep(options.orders)))
+    , m_self(uniqueHolderName(options.vm))
+    , m_orders(TargetOrders::make(withStateMaxAge(options.orders)))
 {
 }
 
@@ -50,7 +50,8 @@
     const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(options.logTimeout);
     daemon->m_logClient = *std::move(logClient);
     daemon->m_log = logservice::makeHttpLog(*daemon->m_logClient, options.platform, timeout);
-    daemon->m_lease = std::make_unique<LeaseRunner>(*daemon->m_log, LeaseKeeper::make(daemon->m_self, options.lease));
+    daemon->m_lease
+        = std::make_unique<LeaseRunner>(*daemon->m_log, LeaseContender::make(daemon->m_self, options.lease));
     daemon->m_config = std::make_unique<ConfigRunner>(*daemon->m_log, *daemon->m_lease, options.snapshots);
     daemon->m_targets
         = std::make_unique<TargetClient>(*std::move(targetClient), options.platform, options.orders.orderTimeout);
@@ -61,28 +62,28 @@
 
 void Daemon::run(process::StopSignal& signal)
 {
-    while (!signal.wait(turnEvery))
-        turn(steadyNow());
+    while (!signal.wait(tickInterval))
+        tick(steadyNow());
     stop();
 }
 
-void Daemon::turn(TimePoint now)
+void Daemon::tick(TimePoint now)
 {
-    takeAnswers(now);
+    handleEvents(now);
     if (const auto view = m_config->view(); view != m_view) {
         m_view = view;
         m_orders->configure(*view, now);
     }
-    std::optional<LeaseHold> hold = m_lease->held(now);
-    logLease(hold);
+    std::optional<HeldLease> hold = m_lease->held(now);
+    logLeaseChange(hold);
     if (m_isStopping)
         hold.reset();
     for (const OrderAction& action : m_orders->tick(hold, now))
-        m_targets->carryOut(action);
+        m_targets->execute(action);
     show(now);
 }
 
-void Daemon::takeAnswers(TimePoint now)
+void Daemon::handleEvents(TimePoint now)
 {
     for (const TargetEvent& event : m_targets->take())
         std::visit([&](const auto& it) { handle(it, now); }, event);
@@ -110,7 +111,7 @@
     m_orders->orderAnswered(result.target, result.answer, now);
 }
 
-void Daemon::logLease(const std::optional<LeaseHold>& hold)
+void Daemon::logLeaseChange(const std::optional<HeldLease>& hold)
 {
     const LogOffset fencing = hold ? hold->fencing : 0;
     if (fencing == m_fencing)
@@ -124,13 +125,14 @@
 {
     process::log(process::LogLevel::Info, "stopping");
     m_isStopping = true;
-    // An order that is still under way when the lease is given up would reach its target beside the successor's.
-    const TimePoint latest = steadyNow() + m_options.orders.orderTimeout + turnEvery;
-    while (m_targets->underWay() > 0 && steadyNow() < latest)
+    // An order still in flight when the lease is released could reach its target concurrently with orders of the next
+    // holder.
+    const TimePoint latest = steadyNow() + m_options.orders.orderTimeout + tickInterval;
+    while (m_targets->inFlight() > 0 && steadyNow() < latest)
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    if (!m_lease->release(releaseWait))
-        process::log(
-            process::LogLevel::Warning, "lease-not-released", { { "remedy", "It ends by itself after its term" } });
+    if (!m_lease->release(releaseTimeout))
+        process::log(process::LogLevel::Warning, "lease-not-released",
+            { { "remedy", "None needed: the lease expires after its term" } });
 }
 
 void Daemon::show(TimePoint now)
--- a/apps/sagechute-steward/Daemon.h
+++ b/apps/sagechute-steward/Daemon.h
@@ -10,22 +10,22 @@
 /// The running steward: log, lease, configuration, targets and status pages.
 class Daemon {
 public:
-    /// @param options outlives the daemon.
-    /// @return the daemon with its listener open, or an error whose remedy names the setting.
+    /// @param options must outlive the daemon.
+    /// @return the daemon, listening for requests, or an error whose remedy names the setting to change.
     static absl::StatusOr<std::unique_ptr<Daemon>> make(const Options& options);
     ~Daemon() = default;
 
-    /// Works until a signal asks to stop, then ends orders under way and gives the lease up.
+    /// Runs until a stop signal arrives, then waits for requests in flight and releases the lease.
     void run(process::StopSignal&);
 
 private:
     explicit Daemon(const Options&);
 
-    void turn(TimePoint now);
-    void takeAnswers(TimePoint now);
+    void tick(TimePoint now);
+    void handleEvents(TimePoint now);
     void stop();
     void show(TimePoint now);
-    void logLease(const std::optional<LeaseHold>&);
+    void logLeaseChange(const std::optional<HeldLease>&);
 
     void handle(const StateAnswer&, TimePoint now);
     void handle(const LoadAnswer&, TimePoint now);
@@ -33,7 +33,7 @@
 
     const Options& m_options;
     const std::string m_self;
-    // In this order: each uses those before it, also while it ends.
+    // The order matters: each member uses earlier ones, including during destruction.
     std::unique_ptr<net::HttpClient> m_logClient;
     std::unique_ptr<config::LogPort> m_log;
     std::unique_ptr<LeaseRunner> m_lease;
--- a/apps/sagechute-steward/LeaseRunner.cpp
+++ b/apps/sagechute-steward/LeaseRunner.cpp
@@ -6,13 +6,13 @@
 namespace {
 
     constexpr Duration idleSleep = std::chrono::milliseconds(100);
-    constexpr Duration failureSleep = std::chrono::milliseconds(500);
+    constexpr Duration failureBackoff = std::chrono::milliseconds(500);
 
 } // namespace
 
-LeaseRunner::LeaseRunner(config::LogPort& log, std::unique_ptr<LeaseKeeper> keeper)
+LeaseRunner::LeaseRunner(config::LogPort& log, std::unique_ptr<LeaseContender> contender)
     : m_log(log)
-    , m_keeper(std::move(keeper))
+    , m_contender(std::move(contender))
     , m_thread([this] { run(); })
 {
 }
@@ -27,24 +27,24 @@
     m_thread.join();
 }
 
-std::optional<LeaseHold> LeaseRunner::held(TimePoint now) const
+std::optional<HeldLease> LeaseRunner::held(TimePoint now) const
 {
     const std::lock_guard lock(m_mutex);
-    return m_keeper->held(now);
+    return m_contender->held(now);
 }
 
 std::string LeaseRunner::holder() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_keeper->holder();
+    return m_contender->holder();
 }
 
 bool LeaseRunner::release(Duration most)
 {
     std::unique_lock lock(m_mutex);
-    m_keeper->release();
+    m_contender->release();
     m_changed.notify_all();
-    return m_changed.wait_for(lock, most, [this] { return m_keeper->released(); });
+    return m_changed.wait_for(lock, most, [this] { return m_contender->released(); });
 }
 
 void LeaseRunner::run()
@@ -55,16 +55,16 @@
             const std::lock_guard lock(m_mutex);
             if (m_isStopped)
                 return;
-            action = m_keeper->next(steadyNow());
+            action = m_contender->next(steadyNow());
         }
         if (action.type == LeaseAction::Type::Wait)
             sleep(idleSleep);
         else
-            carryOut(action);
+            execute(action);
     }
 }
 
-void LeaseRunner::carryOut(const LeaseAction& action)
+void LeaseRunner::execute(const LeaseAction& action)
 {
     absl::Status status;
     std::optional<config::LogBatch> batch;
@@ -80,17 +80,17 @@
     {
         const std::lock_guard lock(m_mutex);
         if (batch)
-            m_keeper->read(*batch, steadyNow());
+            m_contender->read(*batch, steadyNow());
         else if (status.ok())
-            m_keeper->appended(steadyNow());
+            m_contender->appended(steadyNow());
         else
-            m_keeper->failed(steadyNow());
+            m_contender->failed(steadyNow());
     }
     m_changed.notify_all();
     if (status.ok())
         return;
     process::log(process::LogLevel::Warning, "lease-log-failed", { { "message", std::string(status.message()) } });
-    sleep(failureSleep);
+    sleep(failureBackoff);
 }
 
 void LeaseRunner::sleep(Duration time)
--- a/apps/sagechute-steward/Options.cpp
+++ b/apps/sagechute-steward/Options.cpp
@@ -9,7 +9,7 @@
     using std::chrono::milliseconds;
     using std::chrono::seconds;
 
-    absl::Status contradiction(std::string_view message, std::string_view remedy)
+    absl::Status invalidSettings(std::string_view message, std::string_view remedy)
     {
         return makeError(ErrorKind::BadRequest, message, remedy);
     }
@@ -17,11 +17,11 @@
     absl::Status checkLease(const LeaseSettings& lease, const OrderSettings& orders)
     {
         if (lease.margin * 2 > lease.term)
-            return contradiction(
+            return invalidSettings(
                 "--lease-margin is more than half of --lease-term", "Raise --lease-term or lower --lease-margin");
-        const Duration usable = lease.term - lease.margin - lease.renewEvery - orders.orderTimeout;
+        const Duration usable = lease.term - lease.margin - lease.renewInterval - orders.orderTimeout;
         if (usable < seconds(1))
-            return contradiction("--lease-term leaves no time for orders between two renewals",
+            return invalidSettings("--lease-term leaves no time for orders between two renewals",
                 "Make it at least a second longer than --lease-margin, --lease-renew and --order-timeout together");
         return absl::OkStatus();
     }
@@ -30,7 +30,7 @@
     {
         if (url.starts_with("http://") || url.starts_with("https://"))
             return absl::OkStatus();
-        return contradiction("--platform is not a URL", "Write http://ADDRESS:PORT");
+        return invalidSettings("--platform is not an http:// or https:// URL", "Write http://ADDRESS:PORT");
     }
 
 } // namespace
@@ -41,24 +41,28 @@
         .requiredText("platform", platform, "base URL of the platform's services")
         .text("listen", listen, "address for metrics, health and progress")
         .text("log-level", logLevel, "debug, info, warning or error")
-        .duration("log-timeout", logTimeout, milliseconds(100), seconds(60), "longest wait for an answer of the log")
-        .duration(
-            "lease-term", lease.term, seconds(2), seconds(300), "silence of a holder after which another may follow")
+        .duration("log-timeout", logTimeout, milliseconds(100), seconds(60), "timeout of a request to the log")
+        .duration("lease-term", lease.term, seconds(2), seconds(300),
+            "time without a record of the holder after which another steward may acquire the lease")
         .duration("lease-margin", lease.margin, milliseconds(200), seconds(60),
-            "the holder stops this much before its term ends")
-        .duration("lease-renew", lease.renewEvery, milliseconds(200), seconds(60), "how often the holder renews")
+            "the holder stops relying on the lease this long before its term ends")
+        .duration("lease-renew", lease.renewInterval, milliseconds(200), seconds(60),
+            "interval between renewals of the lease")
         .duration(
-            "snapshot-interval", snapshots.longestGap, seconds(1), hours(24), "longest time between two snapshots")
-        .count("snapshot-records", snapshots.mostRecords, 1, 100'000, "changes after a snapshot before the next one")
-        .duration("order-timeout", orders.orderTimeout, milliseconds(100), seconds(60), "longest request to a target")
+            "snapshot-interval", snapshots.maxInterval, seconds(1), hours(24), "longest time between two snapshots")
+        .count("snapshot-records", snapshots.maxRecords, 1, 100'000,
+            "number of changes after which the next snapshot is due")
         .duration(
-            "state-interval", orders.stateEvery, milliseconds(100), seconds(60), "how often a target's state is read")
-        .duration("order-settle", orders.settle, milliseconds(500), seconds(600),
-            "an order without effect is repeated after this")
-        .real("part-at-once", orders.partAtOnce, 0.01, 0.5, "part of a pool that may be out of service for orders")
-        .count("loads-at-once", orders.loadsAtOnce, 1, 1000, "loads under way in the whole fleet")
+            "order-timeout", orders.orderTimeout, milliseconds(100), seconds(60), "timeout of a request to a target")
+        .duration("state-interval", orders.stateReadInterval, milliseconds(100), seconds(60),
+            "interval between reads of a target's state")
+        .duration("order-settle", orders.confirmTimeout, milliseconds(500), seconds(600),
+            "an accepted order without effect is repeated after this time")
+        .real("part-at-once", orders.maxUnavailableFraction, 0.01, 0.5,
+            "fraction of a pool that may be out of service because of orders")
+        .count("loads-at-once", orders.maxConcurrentLoads, 1, 1000, "limit of concurrent loads in the whole fleet")
         .flag("ask-weight-store", orders.asksWeightStore,
-            "ask the weight store before a load; for engines that do not ask themselves")
+            "request permission from the weight store before a load; for engines that do not do so themselves")
         .check([this] { return net::parseEndpoint(listen).status(); })
         .check([this] { return checkPlatform(platform); })
         .check([this] { return checkLease(lease, orders); });
--- a/apps/sagechute-steward/Options.h
+++ b/apps/sagechute-steward/Options.h
@@ -5,7 +5,7 @@
 
 namespace sagechute::steward {
 
-/// Settings of the daemon.
+/// Command-line and file settings of the daemon.
 struct Options {
     std::string vm;
     std::string platform;
@@ -16,7 +16,7 @@
     SnapshotSettings snapshots;
     OrderSettings orders;
 
-    /// Declares the settings, bound to this object, which outlives @p settings.
+    /// Declares the settings and binds them to this object, which must outlive @p settings.
     void declare(process::Settings& settings);
 };
 
--- a/apps/sagechute-steward/StatusPages.cpp
+++ b/apps/sagechute-steward/StatusPages.cpp
@@ -15,7 +15,7 @@
     json targetDocument(const TargetProgress& target)
     {
         return { { "target", target.target.value }, { "reachable", target.reachable }, { "done", target.done },
-            { "phase", target.phase }, { "waitsFor", target.waitsFor } };
+            { "phase", target.phase }, { "waitsFor", target.blockedReason } };
     }
 
     json statusDocument(const StewardStatus& status)
@@ -99,7 +99,7 @@
             return (this->*page.show)();
     }
     return net::errorResponse(
-        makeError(ErrorKind::NotFound, "No such page", "Ask for /metrics, /healthz, /readyz or /v1/status with GET"));
+        makeError(ErrorKind::NotFound, "No such page", "Use GET with /metrics, /healthz, /readyz or /v1/status"));
 }
 
 net::ServerResponse StatusPages::metrics() const
--- a/apps/sagechute-steward/StatusPages.h
+++ b/apps/sagechute-steward/StatusPages.h
@@ -11,12 +11,12 @@
 
 namespace sagechute::steward {
 
-/// What the pages tell.
+/// The state shown on the status pages.
 struct StewardStatus {
     std::string self;
     std::string holder;
-    std::optional<LeaseHold> hold;
-    std::string problem = "starting"; ///< Why the configuration is not current, empty when it is.
+    std::optional<HeldLease> hold;
+    std::string problem = "starting"; ///< Why the configuration is not current; empty if it is.
     LogOffset offset = 0;
     LogOffset logEnd = 0;
     std::uint64_t snapshots = 0;
@@ -29,14 +29,14 @@
 public:
     StatusPages();
 
-    /// Takes over the present status; the pages show it until the next.
+    /// Replaces the status that the pages show.
     void show(StewardStatus);
 
-    /// Answers at once; any thread.
+    /// Responds without blocking; callable from any thread.
     void handle(net::ServerExchange&);
 
 private:
-    /// A metric, and where its value comes from.
+    /// A metric and the function that reads its value from the status.
     struct Gauge {
         prometheus::Gauge* gauge;
         double (*value)(const StewardStatus&);
--- a/apps/sagechute-steward/TargetClient.cpp
+++ b/apps/sagechute-steward/TargetClient.cpp
@@ -9,15 +9,15 @@
 
     using nlohmann::json;
 
-    constexpr std::size_t longestAnswer = 64 << 10;
-    constexpr int answerDepth = 8;
+    constexpr std::size_t maxResponseBytes = 64 << 10;
+    constexpr int maxResponseDepth = 8;
     constexpr int okStatus = 200;
     constexpr int acceptedStatus = 202;
     constexpr int conflictStatus = 409;
-    constexpr Duration defaultWait = std::chrono::seconds(2);
-    constexpr unsigned longestWaitSeconds = 3600;
+    constexpr Duration defaultRetryAfter = std::chrono::seconds(2);
+    constexpr unsigned maxRetryAfterSeconds = 3600;
 
-    /// Collects a short answer and hands on what it means.
+    /// Collects a short response, parses it at its end and passes the resulting event to the client.
     class AnswerSink final : public net::TransferSink {
     public:
         using Reader = std::function<TargetEvent(const net::ClientResponse&)>;
@@ -33,8 +33,8 @@
 
         bool onBody(std::string_view bytes) override
         {
-            // A longer answer is cut, and then does not parse: a target cannot fill the steward's memory.
-            m_response.body += bytes.substr(0, longestAnswer - std::min(longestAnswer, m_response.body.size()));
+            // A body over 64 KiB is truncated and then fails to parse, so a target cannot exhaust the steward's memory.
+            m_response.body += bytes.substr(0, maxResponseBytes - std::min(maxResponseBytes, m_response.body.size()));
             return true;
         }
 
@@ -50,28 +50,28 @@
         net::ClientResponse m_response;
     };
 
-    bool isAnswer(const net::ClientResponse& response, int status)
+    bool isCompleteWithStatus(const net::ClientResponse& response, int status)
     {
         return net::isUncut(response.result.end) && response.result.httpStatus == status;
     }
 
-    std::string textIn(const json& document, const char* name)
+    std::string stringMember(const json& document, const char* name)
     {
         const auto it = document.find(name);
         return it != document.end() && it->is_string() ? it->get<std::string>() : std::string();
     }
 
-    /// Members that this release does not know are left alone: engines are not the project's own.
+    /// Ignores unknown members, because engines are third-party software.
     std::optional<ObservedState> readState(const net::ClientResponse& response)
     {
-        if (!isAnswer(response, okStatus))
+        if (!isCompleteWithStatus(response, okStatus))
             return std::nullopt;
-        const absl::StatusOr<json> document = parseJsonStrictly(response.body, answerDepth);
+        const absl::StatusOr<json> document = parseJsonStrictly(response.body, maxResponseDepth);
         if (!document.ok() || !document->is_object() || !document->contains("loading")
             || !(*document)["loading"].is_boolean())
             return std::nullopt;
-        ObservedState state { textIn(*document, "model"), textIn(*document, "version"), textIn(*document, "role"), 0,
-            (*document)["loading"].get<bool>() };
+        ObservedState state { stringMember(*document, "model"), stringMember(*document, "version"),
+            stringMember(*document, "role"), 0, (*document)["loading"].get<bool>() };
         const auto fencing = document->find("fencing");
         if (fencing != document->end() && fencing->is_number_unsigned())
             state.fencing = fencing->get<LogOffset>();
@@ -83,15 +83,15 @@
         const auto text = net::findField(response.headers, "Retry-After");
         unsigned seconds = 0;
         if (!text || std::from_chars(text->data(), text->data() + text->size(), seconds).ec != std::errc())
-            return defaultWait;
-        return std::chrono::seconds(std::clamp(seconds, 1U, longestWaitSeconds));
+            return defaultRetryAfter;
+        return std::chrono::seconds(std::clamp(seconds, 1U, maxRetryAfterSeconds));
     }
 
     OrderAnswer readOrderAnswer(const net::ClientResponse& response)
     {
-        if (isAnswer(response, acceptedStatus) || isAnswer(response, okStatus))
+        if (isCompleteWithStatus(response, acceptedStatus) || isCompleteWithStatus(response, okStatus))
             return OrderAnswer::Accepted;
-        return isAnswer(response, conflictStatus) ? OrderAnswer::Superseded : OrderAnswer::Failed;
+        return isCompleteWithStatus(response, conflictStatus) ? OrderAnswer::Superseded : OrderAnswer::Failed;
     }
 
     json orderDocument(const SendOrder& order)
@@ -115,7 +115,7 @@
 {
 }
 
-void TargetClient::carryOut(const OrderAction& action)
+void TargetClient::execute(const OrderAction& action)
 {
     std::visit([this](const auto& it) { send(it); }, action);
 }
@@ -143,7 +143,7 @@
 
 void TargetClient::start(net::ClientRequest request, std::function<TargetEvent(const net::ClientResponse&)> read)
 {
-    ++m_underWay;
+    ++m_inFlight;
     m_client->start(std::move(request), std::make_unique<AnswerSink>(*this, std::move(read)));
 }
 
@@ -155,7 +155,7 @@
         });
 }
 
-void TargetClient::send(const AskLoad& action)
+void TargetClient::send(const RequestLoadGrant& action)
 {
     net::ClientRequest request = requestTo(m_platform + "/v1/weights/loads");
     request.method = "POST";
@@ -164,16 +164,16 @@
         = json { { "target", action.target.value }, { "model", action.model }, { "version", action.version } }.dump();
     request.freshConnection = true;
     start(std::move(request), [target = action.target](const net::ClientResponse& response) {
-        return LoadAnswer { target, isAnswer(response, okStatus), retryAfter(response) };
+        return LoadAnswer { target, isCompleteWithStatus(response, okStatus), retryAfter(response) };
     });
 }
 
 void TargetClient::send(const SendOrder& action)
 {
-    // The process may have been paused since the lease was looked at. What leaves after this would reach a target when
-    // another steward may hold the lease; the look here leaves only the pause between it and the send, which is found
-    // by reading the state back.
-    if (steadyNow() > action.notAfter) {
+    // The process may have been paused since the lease was checked. An order sent after the deadline could reach the
+    // target when another steward already holds the lease. A pause between this check and the send remains possible;
+    // its effect is detected by reading the state back.
+    if (steadyNow() > action.sendDeadline) {
         push(OrderResult { action.target, OrderAnswer::Failed });
         return;
     }
--- a/apps/sagechute-steward/TargetClient.h
+++ b/apps/sagechute-steward/TargetClient.h
@@ -8,7 +8,7 @@
 
 namespace sagechute::steward {
 
-/// Answers of targets and of the weight store.
+/// Results of requests to targets and to the weight store.
 struct StateAnswer {
     TargetId target;
     std::uint64_t number = 0;
@@ -25,39 +25,40 @@
 };
 using TargetEvent = std::variant<StateAnswer, LoadAnswer, OrderResult>;
 
-/// Carries out order actions over HTTP without waiting; the answers are collected for the deciding thread.
+/// Executes order actions over HTTP without blocking and queues the results for the thread that runs TargetOrders.
 class TargetClient {
 public:
-    /// @param platform base URL of the weight store. @param timeout longest request.
+    /// @param platform base URL of the weight store. @param timeout total timeout of each request.
     TargetClient(std::unique_ptr<net::HttpClient>, std::string platform, Duration timeout);
 
-    void carryOut(const OrderAction&);
+    void execute(const OrderAction&);
 
-    /// @return the answers since the last call.
+    /// @return the events queued since the last call.
     std::vector<TargetEvent> take();
 
-    /// @return requests under way.
-    std::size_t underWay() const { return m_underWay; }
+    /// @return number of requests in flight.
+    std::size_t inFlight() const { return m_inFlight; }
 
-    /// Takes an answer in; any thread.
+    /// Queues an event; callable from any thread.
     void push(TargetEvent);
 
-    /// Counts a request that has ended.
-    void ended() { --m_underWay; }
+    /// Records that a request has ended.
+    void ended() { --m_inFlight; }
 
 private:
     void send(const ReadState&);
-    void send(const AskLoad&);
+    void send(const RequestLoadGrant&);
     void send(const SendOrder&);
     void start(net::ClientRequest, std::function<TargetEvent(const net::ClientResponse&)> read);
     net::ClientRequest requestTo(std::string url) const;
 
     const std::string m_platform;
     const std::chrono::milliseconds m_timeout;
-    std::atomic<std::size_t> m_underWay { 0 };
+    std::atomic<std::size_t> m_inFlight { 0 };
     std::mutex m_mutex;
     std::vector<TargetEvent> m_events;
-    std::unique_ptr<net::HttpClient> m_client; ///< Last: its end ends the transfers, which still push.
+    std::unique_ptr<net::HttpClient>
+        m_client; ///< Declared last: its destructor ends the transfers, which still call push().
 };
 
 } // namespace sagechute::steward
--- a/apps/sagechute-steward/main.cpp
+++ b/apps/sagechute-steward/main.cpp
@@ -17,8 +17,8 @@
 int main(int argc, char** argv)
 {
     steward::Options options;
-    process::Settings settings(
-        "sagechute-steward", "orders to targets and snapshots of the configuration, under a lease in the log");
+    process::Settings settings("sagechute-steward",
+        "sends orders to targets and writes configuration snapshots while it holds a lease in the log");
     options.declare(settings);
     if (const std::optional<int> code = settings.read(argc, argv))
         return *code;
--- a/include/sagechute/Steward.h
+++ b/include/sagechute/Steward.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// What exactly one VM at a time does for the fleet: orders to targets and snapshots of the configuration, under a
-/// lease in the platform's log. Decision logic without I/O, threads or clock: events and the time go in, actions come
-/// out.
+/// The steward: fleet-wide work that exactly one VM at a time performs, namely sending orders to targets and writing
+/// configuration snapshots. A lease stored in the platform's log elects that VM. This is decision logic without I/O,
+/// threads or a clock: callers pass in events and the current time, and carry out the returned actions.
 
 #include <sagechute/Config.h>
 
@@ -17,113 +17,119 @@
 
 namespace sagechute::steward {
 
-/// Times of a lease. Two clocks may run apart by up to margin / term.
+/// Lease timing. The lease stays exclusive as long as the relative drift between two clocks is at most margin / term.
 struct LeaseSettings {
-    Duration term
-        = std::chrono::seconds(12); ///< How long the log must be silent about a holder before another may follow.
-    Duration margin = std::chrono::seconds(3); ///< The holder stops this much before its term ends.
-    Duration renewEvery = std::chrono::seconds(3);
-    Duration readEvery = std::chrono::seconds(2); ///< How often those who wait look into the log.
-    Duration spread = std::chrono::seconds(1); ///< Those who wait try at different times within this.
+    Duration term = std::chrono::seconds(
+        12); ///< Time without a record of the holder after which another process may acquire the lease.
+    Duration margin
+        = std::chrono::seconds(3); ///< The holder stops relying on the lease this long before its term ends.
+    Duration renewInterval = std::chrono::seconds(3);
+    Duration readInterval = std::chrono::seconds(2); ///< How often the lease stream is read.
+    Duration spread = std::chrono::seconds(
+        1); ///< Upper bound of the per-process delay that keeps contenders from acquiring at the same time.
 };
 
-/// The lease as its holder may rely on it.
-struct LeaseHold {
-    LogOffset fencing = 0; ///< Offset of the record that acquired it: a later holder has a larger one.
-    TimePoint until {}; ///< By the holder's clock, margin taken off.
+/// A held lease and how long its holder may rely on it.
+struct HeldLease {
+    LogOffset fencing = 0; ///< Fencing number: offset of the acquiring record, so each later holder has a larger one.
+    TimePoint until {}; ///< By the holder's clock, with the margin already subtracted.
 };
 
-/// What a lease keeper wants from the log.
+/// The next log operation requested by a LeaseContender.
 struct LeaseAction {
     enum class Type { Wait, Read, Append };
 
     Type type = Type::Wait;
-    LogOffset from = 0; ///< Read: from this offset.
-    std::string record; ///< Append: this record.
+    LogOffset from = 0; ///< Read: first offset to read.
+    std::string record; ///< Append: the encoded record.
 };
 
-/// One contender for the lease.
+/// Acquires, renews and releases the lease on behalf of one process.
 ///
-/// Each record names the offset up to which its writer had read, and counts only when it directly follows that: the
-/// log's order decides who holds the lease, clocks only when somebody may try. So a record that was under way while its
-/// writer was paused takes no effect.
-class LeaseKeeper {
+/// Each record carries the offset up to which its writer had read the log, and is valid only if it directly follows
+/// that offset. The order of the log therefore decides who holds the lease; clocks only decide when a process may try
+/// to acquire it. A record that was in flight while its writer was paused has no effect once another record precedes
+/// it.
+class LeaseContender {
 public:
-    /// @param holder names this process's life; no other process ever uses the same.
-    static std::unique_ptr<LeaseKeeper> make(std::string holder, const LeaseSettings&);
-    virtual ~LeaseKeeper() = default;
+    /// @param holder identifies this run of the process; must never be reused, not even after a restart.
+    static std::unique_ptr<LeaseContender> make(std::string holder, const LeaseSettings&);
+    virtual ~LeaseContender() = default;
 
-    /// @return what to do now; each Append or Read is answered by appended() or read() before the next call.
+    /// @return the operation to perform now. After an Append or Read, call appended(), read() or failed() before
+    /// calling next() again.
     virtual LeaseAction next(TimePoint now) = 0;
 
-    /// A Read was answered.
+    /// Reports the result of a Read.
     virtual void read(const config::LogBatch&, TimePoint now) = 0;
 
-    /// An Append or Read came back, whatever its result: what was taken is found out by reading.
+    /// Reports that an Append completed, or that an Append or Read failed. Neither says whether the record was stored;
+    /// that is determined by reading the log.
     virtual void appended(TimePoint now) = 0;
     virtual void failed(TimePoint now) = 0;
 
-    /// @return the hold, when the lease can be relied on at @p now.
-    virtual std::optional<LeaseHold> held(TimePoint now) const = 0;
+    /// @return the held lease, or nullopt if this process may not rely on it at @p now.
+    virtual std::optional<HeldLease> held(TimePoint now) const = 0;
 
-    /// Gives the lease up with the next action, and does not contend for it again.
+    /// Releases the lease with the next action and stops contending for it.
     virtual void release() = 0;
 
-    /// @return whether, after release(), the log says that this process does not hold the lease.
+    /// @return whether, after release(), the log confirms that this process does not hold the lease.
     virtual bool released() const = 0;
 
-    /// @return who holds the lease as the log says, empty when nobody is known to.
+    /// @return the current holder according to the log, or an empty string if none is known.
     virtual std::string holder() const = 0;
 };
 
 struct SnapshotSettings {
-    Duration longestGap
-        = std::chrono::minutes(10); ///< Snapshots themselves expire: a quiet fleet needs fresh ones too.
-    LogOffset mostRecords = 500; ///< Records after a snapshot before the next one.
+    Duration maxInterval = std::chrono::minutes(
+        10); ///< Snapshots expire as well, so one is needed even if the configuration does not change.
+    LogOffset maxRecords = 500; ///< Records since the last snapshot that make the next one due.
     Duration retryAfter = std::chrono::seconds(5);
 };
 
-/// Says when a snapshot is due, before the records that it replaces expire. Learns how long the log keeps records by
-/// watching them go.
+/// Schedules configuration snapshots so that one is written before the records it replaces expire. Estimates the log's
+/// retention time by observing when records disappear.
 class SnapshotSchedule {
 public:
     explicit SnapshotSchedule(const SnapshotSettings&);
 
-    /// @param first oldest offset that the log keeps. @param end latest offset, 0 for none.
-    void sawLog(LogOffset first, LogOffset end, TimePoint now);
+    /// @param first oldest offset still in the log. @param end latest offset, or 0 if the log is empty.
+    void observeLog(LogOffset first, LogOffset end, TimePoint now);
 
     void wrote(LogOffset covers, TimePoint now);
     void failed(TimePoint now);
 
-    /// The lease is new: what others wrote meanwhile is not known, so a snapshot is due.
-    void forgetWritten() { m_covers.reset(); }
+    /// Makes a snapshot due. Called when the lease is newly acquired, because snapshots that other holders wrote are
+    /// not tracked.
+    void discardWritten() { m_covers.reset(); }
 
-    /// @param applied offset up to which a snapshot could be made.
+    /// @param applied offset that a snapshot taken now would cover.
     bool due(LogOffset applied, TimePoint now) const;
 
-    /// @return the shortest time after which a record was seen to be gone, if any was.
-    std::optional<Duration> learnedAge() const { return m_learnedAge; }
+    /// @return the shortest observed time after which a record had been removed from the log, if any has been.
+    std::optional<Duration> observedRetention() const { return m_observedRetention; }
 
 private:
-    /// When the log's end was first seen at an offset.
-    struct Sighting {
+    /// The time at which the log was first observed to end at an offset.
+    struct EndObservation {
         LogOffset end = 0;
         TimePoint at {};
     };
 
-    Duration gap() const;
+    Duration interval() const;
 
     SnapshotSettings m_settings;
-    std::vector<Sighting> m_sightings; ///< In order; those gone from the log are taken off.
-    std::optional<Duration> m_learnedAge;
-    std::optional<LogOffset> m_learnedRecords;
+    std::vector<EndObservation> m_endObservations; ///< By offset; entries whose record has expired are removed.
+    std::optional<Duration> m_observedRetention;
+    std::optional<LogOffset> m_observedRecordCount;
     LogOffset m_first = 1;
     std::optional<LogOffset> m_covers;
     TimePoint m_writtenAt {};
     TimePoint m_notBefore {};
 };
 
-/// State of a target as it tells it.
+/// State of a target as reported by the target.
 struct ObservedState {
     std::string model;
     std::string version;
@@ -137,21 +143,21 @@
 /// @return "load", "version" or "role".
 std::string_view toString(OrderKind);
 
-/// Wants the state of a target read; answered by TargetOrders::stateRead().
+/// Requests a read of a target's state. The result goes to TargetOrders::stateRead().
 struct ReadState {
     TargetId target;
     std::string address;
-    std::uint64_t number = 0; ///< Comes back with the answer.
+    std::uint64_t number = 0; ///< Identifies the read; passed back with its result.
 };
 
-/// Wants the weight store asked for a load; answered by loadGranted() or loadRefused().
-struct AskLoad {
+/// Requests permission for a model load from the weight store. The result goes to loadGranted() or loadRefused().
+struct RequestLoadGrant {
     TargetId target;
     std::string model;
     std::string version;
 };
 
-/// Wants an order sent now or not at all; answered by orderAnswered().
+/// Requests that an order be sent immediately or not at all. The result goes to orderAnswered().
 struct SendOrder {
     TargetId target;
     std::string address;
@@ -160,70 +166,74 @@
     std::string model;
     std::string version;
     std::string role;
-    TimePoint notAfter {}; ///< Whoever sends looks at the clock again: after this the lease is too near its end.
+    TimePoint
+        sendDeadline {}; ///< The sender rechecks the clock: after this time the lease is too close to expiry to send.
 };
 
-using OrderAction = std::variant<ReadState, AskLoad, SendOrder>;
+using OrderAction = std::variant<ReadState, RequestLoadGrant, SendOrder>;
 
-/// What came of an order.
+/// Outcome of an order.
 enum class OrderAnswer {
     Accepted,
-    Superseded, ///< The target has seen a larger fencing number.
-    Failed, ///< Refused, or nobody knows: the state read back will tell.
+    Superseded, ///< Rejected: the target has seen a larger fencing number.
+    Failed, ///< Rejected or outcome unknown; the next state read shows which.
 };
 
 struct OrderSettings {
-    Duration orderTimeout = std::chrono::seconds(2); ///< Longest request to a target.
-    Duration stateEvery = std::chrono::seconds(2); ///< How often a target's state is read.
-    Duration stateKeep = std::chrono::seconds(7); ///< An older state counts as unknown.
-    Duration settle = std::chrono::seconds(10); ///< An order without a visible effect is sent again after this.
+    Duration orderTimeout = std::chrono::seconds(2); ///< Timeout of a request to a target.
+    Duration stateReadInterval = std::chrono::seconds(2); ///< Interval between reads of a target's state.
+    Duration stateMaxAge = std::chrono::seconds(7); ///< An older state is treated as unknown.
+    Duration confirmTimeout
+        = std::chrono::seconds(10); ///< An accepted order that has had no visible effect is sent again after this time.
     Duration retryAfter = std::chrono::seconds(2);
-    double partAtOnce = 1.0 / 3; ///< Part of a pool that may be out of service for orders.
-    std::size_t loadsAtOnce = 4; ///< In the whole fleet: more would only wait for the weight store, out of service.
-    bool asksWeightStore = false; ///< Whether the steward asks for loads; otherwise the engines do it themselves.
+    double maxUnavailableFraction = 1.0 / 3; ///< Fraction of a pool that may be out of service because of orders.
+    std::size_t maxConcurrentLoads
+        = 4; ///< Fleet-wide; further targets would only be out of service while waiting for the weight store.
+    bool asksWeightStore
+        = false; ///< Whether the steward requests load permission; otherwise the engines do so themselves.
 };
 
-/// How far a target is with what it should have.
+/// Progress of a target towards its desired state.
 struct TargetProgress {
     TargetId target;
     bool reachable = false;
     bool done = false;
     std::string phase; ///< "idle", "asking", "granted", "ordering" or "confirming".
-    std::string waitsFor; ///< Why nothing is done about it now; empty when nothing is in the way.
+    std::string blockedReason; ///< Why no order can be sent now; empty if nothing blocks it.
 };
 
-/// Counts since the start.
+/// Totals since process start.
 struct OrderCounts {
     std::uint64_t sent = 0;
     std::uint64_t repeated
-        = 0; ///< Sent again because the state read back differed from an order that had been accepted.
+        = 0; ///< Sent again because the target's state still differed after it had accepted the order.
     std::uint64_t superseded = 0;
     std::uint64_t failed = 0;
     std::uint64_t loadsRefused = 0;
 };
 
-/// Brings targets to the wanted model, version and role, under the lease.
+/// Brings targets to their desired model, version and role while the lease is held.
 class TargetOrders {
 public:
     static std::unique_ptr<TargetOrders> make(const OrderSettings&);
     virtual ~TargetOrders() = default;
 
-    /// A new configuration is in force.
+    /// Applies a new configuration.
     virtual void configure(const config::ConfigView&, TimePoint now) = 0;
 
-    /// @param number that of the ReadState. @param state nullopt when the target did not answer.
+    /// @param number of the ReadState action. @param state nullopt if the target did not return a valid state.
     virtual void stateRead(
         const TargetId&, std::uint64_t number, const std::optional<ObservedState>& state, TimePoint now)
         = 0;
     virtual void loadGranted(const TargetId&, TimePoint now) = 0;
 
-    /// @param wait time until it is worth asking again, for any target.
+    /// @param wait time during which no load permission is requested for any target.
     virtual void loadRefused(const TargetId&, Duration wait, TimePoint now) = 0;
     virtual void orderAnswered(const TargetId&, OrderAnswer, TimePoint now) = 0;
 
-    /// @param hold the lease; without it nothing is done, and what was under way is forgotten.
-    /// @return what to do now.
-    virtual std::vector<OrderAction> tick(const std::optional<LeaseHold>& hold, TimePoint now) = 0;
+    /// @param hold the held lease. Without it no actions are returned and orders in progress are discarded.
+    /// @return the actions to perform now.
+    virtual std::vector<OrderAction> tick(const std::optional<HeldLease>& hold, TimePoint now) = 0;
 
     virtual std::vector<TargetProgress> progress(TimePoint now) const = 0;
     virtual OrderCounts counts() const = 0;
--- a/src/steward/LeaseKeeper.cpp
+++ b/src/steward/LeaseContender.cpp
@@ -7,28 +7,28 @@
 namespace sagechute::steward {
 namespace {
 
-    /// A holder as the log's order made it.
+    /// The holder according to the records read so far.
     struct Holder {
         std::string name;
         LogOffset fencing = 0;
         Duration term {};
-        TimePoint heardAt {}; ///< When its latest record was read.
+        TimePoint lastRecordAt {}; ///< When this process read the holder's latest record.
     };
 
-    /// An own record on its way.
-    struct Sent {
+    /// A record that this process appended and may not have read back yet.
+    struct PendingRecord {
         std::uint64_t serial = 0;
         TimePoint at {};
     };
 
-    constexpr std::size_t mostSent = 16;
+    constexpr std::size_t maxPendingRecords = 16;
 
-    class Keeper final : public LeaseKeeper {
+    class Contender final : public LeaseContender {
     public:
-        Keeper(std::string self, const LeaseSettings& settings)
+        Contender(std::string self, const LeaseSettings& settings)
             : m_self(std::move(self))
             , m_settings(settings)
-            , m_delay(Duration(static_cast<Duration::rep>(
+            , m_acquireDelay(Duration(static_cast<Duration::rep>(
                   stableHash(m_self) % static_cast<std::uint64_t>(settings.spread.count() + 1))))
         {
         }
@@ -37,7 +37,7 @@
         {
             if (!m_isAtEnd || now >= m_readAgainAt)
                 return { LeaseAction::Type::Read, m_position + 1, "" };
-            if (isMine())
+            if (isHeldBySelf())
                 return nextAsHolder(now);
             if (!m_isReleasing && mayAcquire(now))
                 return append(LeaseVerb::Acquire, now);
@@ -46,44 +46,44 @@
 
         void read(const config::LogBatch& batch, TimePoint now) override
         {
-            if (!m_quietSince)
-                m_quietSince = now;
+            if (!m_silentSince)
+                m_silentSince = now;
             const LogOffset end = std::max<LogOffset>(batch.next, 1) - 1;
             if (batch.first > m_position + 1 || end < m_position)
-                skipTo(std::min(std::max<LogOffset>(batch.first, 1) - 1, end), now);
+                resetTo(std::min(std::max<LogOffset>(batch.first, 1) - 1, end), now);
             for (const config::LogRecord& record : batch.records) {
                 if (record.offset == m_position + 1)
-                    take(record, now);
+                    applyRecord(record, now);
             }
             m_isAtEnd = m_position + 1 >= batch.next;
-            m_isFirstEver = batch.next <= 1;
-            m_readAgainAt = now + m_settings.readEvery;
+            m_isStreamUnused = batch.next <= 1;
+            m_readAgainAt = now + m_settings.readInterval;
         }
 
         void appended(TimePoint) override { m_isAtEnd = false; }
 
         void failed(TimePoint now) override
         {
-            // Whether an append was taken is only known from the log: until it has been read nothing is sent again.
+            // Only the log shows whether a failed append was stored, so read it before appending again.
             m_isAtEnd = false;
             m_readAgainAt = now;
         }
 
-        std::optional<LeaseHold> held(TimePoint now) const override
+        std::optional<HeldLease> held(TimePoint now) const override
         {
-            if (!isMine() || m_isReleasing || now >= m_until)
+            if (!isHeldBySelf() || m_isReleasing || now >= m_until)
                 return std::nullopt;
-            return LeaseHold { m_holder->fencing, m_until };
+            return HeldLease { m_holder->fencing, m_until };
         }
 
         void release() override { m_isReleasing = true; }
 
-        bool released() const override { return m_isReleasing && m_isAtEnd && !isMine(); }
+        bool released() const override { return m_isReleasing && m_isAtEnd && !isHeldBySelf(); }
 
         std::string holder() const override { return m_holder ? m_holder->name : ""; }
 
     private:
-        bool isMine() const { return m_holder && m_holder->name == m_self; }
+        bool isHeldBySelf() const { return m_holder && m_holder->name == m_self; }
 
         LeaseAction nextAsHolder(TimePoint now)
         {
@@ -94,15 +94,16 @@
             return {};
         }
 
-        /// The holder counts from when it sent its latest record, others from when they read it, which is later; so
-        /// with the margin the holder has stopped before anybody else tries.
+        /// The holder measures its term from when it sent its latest record; other processes measure from when they
+        /// read that record, which is later. Together with the margin this ensures that the holder has stopped relying
+        /// on the lease before another process tries to acquire it.
         bool mayAcquire(TimePoint now) const
         {
-            if (m_isFirstEver || m_isFree)
+            if (m_isStreamUnused || m_isFree)
                 return true;
             const Duration silence = m_holder ? m_holder->term : m_settings.term;
-            const TimePoint heardAt = m_holder ? m_holder->heardAt : m_quietSince.value_or(now);
-            return now >= heardAt + silence + m_settings.margin + m_delay;
+            const TimePoint lastRecordAt = m_holder ? m_holder->lastRecordAt : m_silentSince.value_or(now);
+            return now >= lastRecordAt + silence + m_settings.margin + m_acquireDelay;
         }
 
         LeaseAction append(LeaseVerb verb, TimePoint now)
@@ -114,46 +115,46 @@
             record.fencing = verb == LeaseVerb::Acquire ? 0 : m_holder->fencing;
             record.seen = m_position;
             record.term = m_settings.term;
-            m_sent.push_back({ record.serial, now });
-            if (m_sent.size() > mostSent)
-                m_sent.erase(m_sent.begin());
-            m_renewAt = now + m_settings.renewEvery;
+            m_pendingRecords.push_back({ record.serial, now });
+            if (m_pendingRecords.size() > maxPendingRecords)
+                m_pendingRecords.erase(m_pendingRecords.begin());
+            m_renewAt = now + m_settings.renewInterval;
             m_isAtEnd = false;
             return { LeaseAction::Type::Append, 0, encodeLease(record) };
         }
 
-        /// Records are gone unread, or the log was emptied: nobody is known to hold the lease, and nothing is claimed
-        /// before a whole term of silence.
-        void skipTo(LogOffset position, TimePoint now)
+        /// Handles records that expired unread, or a log that was truncated. The holder is then unknown, so the lease
+        /// is not acquired before a full term has passed without a record.
+        void resetTo(LogOffset position, TimePoint now)
         {
             m_position = position;
             m_holder.reset();
             m_isFree = false;
-            m_quietSince = now;
+            m_silentSince = now;
         }
 
-        void take(const config::LogRecord& logged, TimePoint now)
+        void applyRecord(const config::LogRecord& logged, TimePoint now)
         {
             const LogOffset previous = m_position;
             m_position = logged.offset;
             const absl::StatusOr<LeaseRecord> record = decodeLease(logged.data);
-            // A record whose writer had not read its predecessor was written without knowing who holds the lease: two
-            // would hold it.
+            // A writer that had not read the preceding record did not know who held the lease. Accepting its record
+            // could give the lease two holders.
             if (!record.ok() || record->seen != previous)
                 return;
             if (record->verb == LeaseVerb::Acquire) {
-                hold(*record, logged.offset, now);
+                setHolder(*record, logged.offset, now);
                 return;
             }
             if (m_holder && (m_holder->fencing != record->fencing || m_holder->name != record->holder))
                 return;
             if (record->verb == LeaseVerb::Renew)
-                hold(*record, record->fencing, now);
+                setHolder(*record, record->fencing, now);
             else
-                free(now);
+                markFree(now);
         }
 
-        void hold(const LeaseRecord& record, LogOffset fencing, TimePoint now)
+        void setHolder(const LeaseRecord& record, LogOffset fencing, TimePoint now)
         {
             if (!m_holder || m_holder->fencing != fencing)
                 m_until = {};
@@ -161,43 +162,44 @@
             m_isFree = false;
             if (record.holder != m_self)
                 return;
-            const auto it = std::find_if(
-                m_sent.begin(), m_sent.end(), [&](const Sent& sent) { return sent.serial == record.serial; });
-            if (it != m_sent.end())
+            const auto it = std::find_if(m_pendingRecords.begin(), m_pendingRecords.end(),
+                [&](const PendingRecord& pending) { return pending.serial == record.serial; });
+            if (it != m_pendingRecords.end())
                 m_until = std::max(m_until, it->at + m_settings.term - m_settings.margin);
         }
 
-        void free(TimePoint now)
+        void markFree(TimePoint now)
         {
             m_holder.reset();
             m_until = {};
             m_isFree = true;
-            m_quietSince = now;
+            m_silentSince = now;
         }
 
         const std::string m_self;
         const LeaseSettings m_settings;
-        const Duration m_delay;
+        const Duration m_acquireDelay;
 
-        LogOffset m_position = 0; ///< All records up to this one have been taken in.
-        bool m_isAtEnd = false; ///< Nothing was behind m_position at the latest read, and nothing was appended since.
-        bool m_isFirstEver = false; ///< Nobody ever wrote to the stream.
-        bool m_isFree = false; ///< The latest holder gave the lease up.
+        LogOffset m_position = 0; ///< All records up to this offset have been processed.
+        bool m_isAtEnd
+            = false; ///< The latest read reached the end of the log, and this process has not appended since.
+        bool m_isStreamUnused = false; ///< No record was ever written to the lease stream.
+        bool m_isFree = false; ///< The latest holder released the lease.
         bool m_isReleasing = false;
         std::optional<Holder> m_holder;
-        std::optional<TimePoint> m_quietSince; ///< Since when no holder has been heard of while none is known.
+        std::optional<TimePoint> m_silentSince; ///< Start of the wait for records while the holder is unknown.
         TimePoint m_readAgainAt {};
         TimePoint m_renewAt {};
         TimePoint m_until {};
         std::uint64_t m_serial = 0;
-        std::vector<Sent> m_sent;
+        std::vector<PendingRecord> m_pendingRecords;
     };
 
 } // namespace
 
-std::unique_ptr<LeaseKeeper> LeaseKeeper::make(std::string holder, const LeaseSettings& settings)
+std::unique_ptr<LeaseContender> LeaseContender::make(std::string holder, const LeaseSettings& settings)
 {
-    return std::make_unique<Keeper>(std::move(holder), settings);
+    return std::make_unique<Contender>(std::move(holder), settings);
 }
 
 } // namespace sagechute::steward
--- a/src/steward/LeaseRecord.cpp
+++ b/src/steward/LeaseRecord.cpp
@@ -10,10 +10,10 @@
     using nlohmann::json;
 
     constexpr int leaseFormat = 1;
-    constexpr int leaseDepth = 2;
-    constexpr std::size_t longestText = 128;
-    constexpr std::size_t longestLeaseRecord = 4096;
-    constexpr std::uint64_t longestTermMs = 24ULL * 3600 * 1000;
+    constexpr int maxLeaseDepth = 2;
+    constexpr std::size_t maxTextLength = 128;
+    constexpr std::size_t maxLeaseRecordBytes = 4096;
+    constexpr std::uint64_t maxTermMs = 24ULL * 3600 * 1000;
     constexpr std::string_view leaseName = "steward";
     constexpr std::array<std::string_view, 3> verbTexts { "acquire", "renew", "release" };
 
@@ -40,25 +40,26 @@
 
 absl::StatusOr<LeaseRecord> decodeLease(std::string_view data)
 {
-    if (data.size() > longestLeaseRecord)
-        return makeError(ErrorKind::BadRequest, "The lease record is too long", "See who wrote it; readers skip it");
-    absl::StatusOr<json> document = parseJsonStrictly(data, leaseDepth);
+    if (data.size() > maxLeaseRecordBytes)
+        return makeError(ErrorKind::BadRequest, "The lease record exceeds 4096 bytes",
+            "Find out which process wrote it; readers skip the record");
+    absl::StatusOr<json> document = parseJsonStrictly(data, maxLeaseDepth);
     if (!document.ok())
         return document.status();
     config::DocumentReader reader(*std::move(document));
     LeaseRecord record;
     reader.expectNumber("format", leaseFormat);
     reader.expectText("lease", leaseName);
-    const auto verb = parseVerb(reader.text("verb", longestText));
-    record.holder = reader.text("holder", longestText);
+    const auto verb = parseVerb(reader.text("verb", maxTextLength));
+    record.holder = reader.text("holder", maxTextLength);
     record.serial = reader.number("serial");
     record.fencing = reader.number("fencing");
     record.seen = reader.number("seen");
     const std::uint64_t termMs = reader.number("termMs");
-    if (!verb || record.holder.empty() || termMs == 0 || termMs > longestTermMs)
-        reader.fail("the verb, holder or term is not acceptable");
+    if (!verb || record.holder.empty() || termMs == 0 || termMs > maxTermMs)
+        reader.fail("the verb is unknown, the holder is empty, or termMs is not between 1 and 86400000 (24 h)");
     if (verb && (*verb == LeaseVerb::Acquire) != (record.fencing == 0))
-        reader.fail("an acquiring record has no fencing number, any other has one");
+        reader.fail("fencing must be 0 in an acquire record and non-zero in a renew or release record");
     const absl::Status status = reader.finish("lease record");
     if (!status.ok())
         return status;
--- a/src/steward/LeaseRecord.h
+++ b/src/steward/LeaseRecord.h
@@ -6,14 +6,14 @@
 
 enum class LeaseVerb { Acquire, Renew, Release };
 
-/// A record of the lease stream.
+/// A record in the lease stream.
 struct LeaseRecord {
     LeaseVerb verb = LeaseVerb::Acquire;
     std::string holder;
-    std::uint64_t serial = 0; ///< The holder's own number of the record.
-    LogOffset fencing = 0; ///< Offset of the acquiring record; 0 in that record itself.
-    LogOffset seen = 0; ///< The writer had read all records up to this offset.
-    Duration term {}; ///< How long others must hear nothing before they may try.
+    std::uint64_t serial = 0; ///< Sequence number assigned by the holder.
+    LogOffset fencing = 0; ///< Offset of the acquire record; 0 in the acquire record itself.
+    LogOffset seen = 0; ///< The writer had read the stream up to and including this offset.
+    Duration term {}; ///< Time without a record from the holder after which others may try to acquire.
 };
 
 std::string encodeLease(const LeaseRecord&);
--- a/src/steward/OrderedTarget.cpp
+++ b/src/steward/OrderedTarget.cpp
@@ -14,45 +14,45 @@
 
 std::string_view toString(OrderPhase phase) { return phaseTexts[static_cast<std::size_t>(phase)]; }
 
-std::optional<OrderKind> OrderedTarget::need() const
+std::optional<OrderKind> OrderedTarget::requiredOrder() const
 {
     if (!observed)
         return std::nullopt;
-    if (!wanted.model.empty() && observed->model != wanted.model)
+    if (!desired.model.empty() && observed->model != desired.model)
         return OrderKind::Load;
-    if (!wanted.version.empty() && observed->version != wanted.version)
+    if (!desired.version.empty() && observed->version != desired.version)
         return OrderKind::Version;
-    if (!wanted.role.empty() && observed->role != wanted.role)
+    if (!desired.role.empty() && observed->role != desired.role)
         return OrderKind::Role;
     return std::nullopt;
 }
 
-bool OrderedTarget::serves(TimePoint now, Duration keep) const
+bool OrderedTarget::serves(TimePoint now, Duration maxAge) const
 {
     const bool isOrderUnderWay = phase != OrderPhase::Idle;
-    if (leaving || isOrderUnderWay || !isKnown(now, keep) || observed->loading)
+    if (leaving || isOrderUnderWay || !isStateFresh(now, maxAge) || observed->loading)
         return false;
-    return wanted.model.empty() || !observed->model.empty();
+    return desired.model.empty() || !observed->model.empty();
 }
 
-void OrderedTarget::forgetOrder()
+void OrderedTarget::resetOrder()
 {
     phase = OrderPhase::Idle;
     observed.reset();
-    readAt = {};
+    nextReadAt = {};
 }
 
-void declare(OrderedTarget& target, const config::Target& declared)
+void applyDeclaration(OrderedTarget& target, const config::Target& declared)
 {
     target.name = declared.name;
     target.pool = declared.pool;
     target.checksFencing = declared.checksFencing;
     target.leaving = declared.state == config::TargetState::Leaving;
-    const WantedState wanted { declared.model, declared.version, declared.role };
-    if (target.address != declared.address || target.wanted != wanted)
-        target.forgetOrder();
+    const DesiredState desired { declared.model, declared.version, declared.role };
+    if (target.address != declared.address || target.desired != desired)
+        target.resetOrder();
     target.address = declared.address;
-    target.wanted = wanted;
+    target.desired = desired;
 }
 
 } // namespace sagechute::steward
--- a/src/steward/OrderedTarget.h
+++ b/src/steward/OrderedTarget.h
@@ -4,56 +4,59 @@
 
 namespace sagechute::steward {
 
-/// What a target should have.
-struct WantedState {
+/// The model, version and role configured for a target; empty fields are not enforced.
+struct DesiredState {
     std::string model;
     std::string version;
     std::string role;
 
     bool isEmpty() const { return model.empty() && role.empty(); }
-    bool operator==(const WantedState&) const = default;
+    bool operator==(const DesiredState&) const = default;
 };
 
-/// How far an order to a target is.
+/// Progress of an order to a target.
 enum class OrderPhase { Idle, Asking, Granted, Ordering, Confirming };
 
 std::string_view toString(OrderPhase);
 
-/// One target that takes orders: what it should have, what it told, and what is under way.
+/// One managed target: its desired state, its last reported state, and the order in progress.
 struct OrderedTarget {
     TargetId name;
     PoolId pool;
     std::string address;
     bool checksFencing = false;
     bool leaving = false;
-    WantedState wanted;
+    DesiredState desired;
 
     std::optional<ObservedState> observed;
     TimePoint observedAt {};
-    std::uint64_t reading = 0; ///< Number of the read under way, 0 for none.
-    TimePoint readAt {}; ///< When to read its state next.
+    std::uint64_t pendingRead = 0; ///< Number of the outstanding state read, or 0 if there is none.
+    TimePoint nextReadAt {}; ///< Earliest time of the next state read.
 
     OrderPhase phase = OrderPhase::Idle;
-    OrderKind ordering = OrderKind::Load; ///< The order under way, unless idle.
-    TimePoint orderedAt {}; ///< When the order under way was sent.
-    TimePoint notBefore {}; ///< No order before this.
-    TimePoint differsSince {}; ///< Since when it has differed from what is wanted; zero: it does not.
-    std::string waitsFor;
+    OrderKind orderKind = OrderKind::Load; ///< Kind of the order in progress; meaningless when idle.
+    TimePoint orderedAt {}; ///< When the target accepted the order in progress.
+    TimePoint notBefore {}; ///< No order is sent before this time.
+    TimePoint
+        differsSince {}; ///< When the observed state began to differ from the desired one; zero if it does not differ.
+    std::string blockedReason;
 
-    /// @return the next order that it needs, judged by its latest state; nullopt when it needs none or has told none.
-    std::optional<OrderKind> need() const;
+    /// @return the kind of order needed next according to the latest state; nullopt if none is needed or no state is
+    /// known.
+    std::optional<OrderKind> requiredOrder() const;
 
-    /// @return whether its latest state is recent.
-    bool isKnown(TimePoint now, Duration keep) const { return observed && now - observedAt <= keep; }
+    /// @return whether the latest state is at most @p maxAge old.
+    bool isStateFresh(TimePoint now, Duration maxAge) const { return observed && now - observedAt <= maxAge; }
 
-    /// @return whether it serves requests with what it has loaded.
-    bool serves(TimePoint now, Duration keep) const;
+    /// @return whether the target is serving requests now.
+    bool serves(TimePoint now, Duration maxAge) const;
 
-    /// Forgets an order under way; its state is read before the next one.
-    void forgetOrder();
+    /// Discards the order in progress and the observed state, so that the state is read before the next order.
+    void resetOrder();
 };
 
-/// Takes over what the configuration says about a target.
-void declare(OrderedTarget&, const config::Target&);
+/// Updates a target from its declaration in the configuration. A changed address or desired state discards the order in
+/// progress.
+void applyDeclaration(OrderedTarget&, const config::Target&);
 
 } // namespace sagechute::steward
--- a/src/steward/SnapshotSchedule.cpp
+++ b/src/steward/SnapshotSchedule.cpp
@@ -5,10 +5,11 @@
 namespace sagechute::steward {
 namespace {
 
-    /// A snapshot must be there well before the records that it replaces go; a writer may be down for a while.
+    /// Snapshots are written at a third of the observed retention, so that one exists well before the records that it
+    /// replaces expire, even if the writer is down for a while.
     constexpr int safetyFactor = 3;
 
-    constexpr std::size_t mostSightings = 1024;
+    constexpr std::size_t maxEndObservations = 1024;
 
 } // namespace
 
@@ -17,19 +18,21 @@
 {
 }
 
-void SnapshotSchedule::sawLog(LogOffset first, LogOffset end, TimePoint now)
+void SnapshotSchedule::observeLog(LogOffset first, LogOffset end, TimePoint now)
 {
-    if (end > 0 && (m_sightings.empty() || m_sightings.back().end < end) && m_sightings.size() < mostSightings)
-        m_sightings.push_back({ end, now });
+    if (end > 0 && (m_endObservations.empty() || m_endObservations.back().end < end)
+        && m_endObservations.size() < maxEndObservations)
+        m_endObservations.push_back({ end, now });
     if (first <= m_first)
         return;
     m_first = first;
-    m_learnedRecords = end + 1 - first;
-    // A record seen as the log's last one at some time, and gone now, was kept for no longer than since then.
-    while (!m_sightings.empty() && m_sightings.front().end < first) {
-        const Duration age = now - m_sightings.front().at;
-        m_learnedAge = m_learnedAge ? std::min(*m_learnedAge, age) : age;
-        m_sightings.erase(m_sightings.begin());
+    m_observedRecordCount = end + 1 - first;
+    // If a record was the last one in the log when observed and is gone now, it was retained for at most the time in
+    // between.
+    while (!m_endObservations.empty() && m_endObservations.front().end < first) {
+        const Duration age = now - m_endObservations.front().at;
+        m_observedRetention = m_observedRetention ? std::min(*m_observedRetention, age) : age;
+        m_endObservations.erase(m_endObservations.begin());
     }
 }
 
@@ -42,21 +45,22 @@
 
 void SnapshotSchedule::failed(TimePoint now) { m_notBefore = now + m_settings.retryAfter; }
 
-Duration SnapshotSchedule::gap() const
+Duration SnapshotSchedule::interval() const
 {
-    return m_learnedAge ? std::min(m_settings.longestGap, *m_learnedAge / safetyFactor) : m_settings.longestGap;
+    return m_observedRetention ? std::min(m_settings.maxInterval, *m_observedRetention / safetyFactor)
+                               : m_settings.maxInterval;
 }
 
 bool SnapshotSchedule::due(LogOffset applied, TimePoint now) const
 {
     if (applied == 0 || now < m_notBefore)
         return false;
-    if (!m_covers || now - m_writtenAt >= gap())
+    if (!m_covers || now - m_writtenAt >= interval())
         return true;
     const LogOffset behind = applied > *m_covers ? applied - *m_covers : 0;
-    const LogOffset most = m_learnedRecords
-        ? std::clamp<LogOffset>(*m_learnedRecords / safetyFactor, 1, m_settings.mostRecords)
-        : m_settings.mostRecords;
+    const LogOffset most = m_observedRecordCount
+        ? std::clamp<LogOffset>(*m_observedRecordCount / safetyFactor, 1, m_settings.maxRecords)
+        : m_settings.maxRecords;
     return behind >= most || (behind > 0 && *m_covers + 1 < m_first);
 }
 
--- a/src/steward/TargetOrders.cpp
+++ b/src/steward/TargetOrders.cpp
@@ -5,8 +5,8 @@
 namespace sagechute::steward {
 namespace {
 
-    /// Distance to the end of the lease and to a former holder's last request: a message's delay beside the request's
-    /// own limit.
+    /// Allowance for message delay on top of the request timeout. Separates the last order from the end of the lease,
+    /// and the first order from the last request of a previous holder.
     constexpr Duration requestSlack = std::chrono::milliseconds(500);
 
     class Orders final : public TargetOrders {
@@ -25,8 +25,8 @@
                     continue;
                 const auto it = m_targets.find(declared.name);
                 OrderedTarget target = it == m_targets.end() ? OrderedTarget {} : std::move(it->second);
-                declare(target, declared);
-                noteNeed(target, now);
+                applyDeclaration(target, declared);
+                updateDiffersSince(target, now);
                 targets.emplace(declared.name, std::move(target));
             }
             m_targets = std::move(targets);
@@ -36,15 +36,15 @@
             TimePoint now) override
         {
             OrderedTarget* target = find(name);
-            // An answer to a read that went out before the latest order may tell of the time before it.
-            if (!target || target->reading != number)
+            // The result of a read that started before the latest order may describe the state before that order.
+            if (!target || target->pendingRead != number)
                 return;
-            target->reading = 0;
+            target->pendingRead = 0;
             if (!state)
                 return;
             target->observed = *state;
             target->observedAt = now;
-            noteNeed(*target, now);
+            updateDiffersSince(*target, now);
             if (target->phase == OrderPhase::Confirming)
                 confirm(*target, now);
         }
@@ -59,7 +59,7 @@
         void loadRefused(const TargetId& name, Duration wait, TimePoint now) override
         {
             ++m_counts.loadsRefused;
-            m_askAgainAt = std::max(m_askAgainAt, now + wait);
+            m_nextGrantRequestAt = std::max(m_nextGrantRequestAt, now + wait);
             OrderedTarget* target = find(name);
             if (target && target->phase == OrderPhase::Asking)
                 target->phase = OrderPhase::Idle;
@@ -70,7 +70,7 @@
             OrderedTarget* target = find(name);
             if (!target || target->phase != OrderPhase::Ordering)
                 return;
-            target->readAt = now;
+            target->nextReadAt = now;
             if (answer == OrderAnswer::Accepted) {
                 target->phase = OrderPhase::Confirming;
                 target->orderedAt = now;
@@ -78,17 +78,17 @@
             }
             m_counts.superseded += answer == OrderAnswer::Superseded ? 1 : 0;
             m_counts.failed += answer == OrderAnswer::Failed ? 1 : 0;
-            target->forgetOrder();
+            target->resetOrder();
             target->notBefore = now + m_settings.retryAfter;
         }
 
-        std::vector<OrderAction> tick(const std::optional<LeaseHold>& hold, TimePoint now) override
+        std::vector<OrderAction> tick(const std::optional<HeldLease>& hold, TimePoint now) override
         {
-            followLease(hold, now);
+            updateLease(hold, now);
             std::vector<OrderAction> actions;
             if (!hold)
                 return actions;
-            addReads(now, actions);
+            addStateReads(now, actions);
             addOrders(*hold, now, actions);
             return actions;
         }
@@ -97,9 +97,10 @@
         {
             std::vector<TargetProgress> list;
             for (const auto& [name, target] : m_targets) {
-                const bool isKnown = target.isKnown(now, m_settings.stateKeep);
-                list.push_back({ name, isKnown, isKnown && !target.need() && !target.observed->loading,
-                    std::string(toString(target.phase)), target.waitsFor });
+                const bool isStateFresh = target.isStateFresh(now, m_settings.stateMaxAge);
+                list.push_back(
+                    { name, isStateFresh, isStateFresh && !target.requiredOrder() && !target.observed->loading,
+                        std::string(toString(target.phase)), target.blockedReason });
             }
             return list;
         }
@@ -107,7 +108,8 @@
         OrderCounts counts() const override { return m_counts; }
 
     private:
-        /// Targets beside ordered ones are watched too: whether the rest of a pool serves decides what may be ordered.
+        /// @return the pools with at least one managed target. All targets of such a pool are monitored, because an
+        /// order is only allowed if enough of the other targets in the pool are serving.
         static std::set<PoolId> orderedPools(const config::ConfigView& view)
         {
             std::set<PoolId> pools;
@@ -124,9 +126,9 @@
             return it == m_targets.end() ? nullptr : &it->second;
         }
 
-        static void noteNeed(OrderedTarget& target, TimePoint now)
+        static void updateDiffersSince(OrderedTarget& target, TimePoint now)
         {
-            if (!target.need())
+            if (!target.requiredOrder())
                 target.differsSince = {};
             else if (target.differsSince == TimePoint {})
                 target.differsSince = now;
@@ -134,23 +136,23 @@
 
         void confirm(OrderedTarget& target, TimePoint now)
         {
-            const std::optional<OrderKind> need = target.need();
+            const std::optional<OrderKind> requiredOrder = target.requiredOrder();
             if (target.observed->loading)
                 return;
-            if (!need || *need != target.ordering) {
+            if (!requiredOrder || *requiredOrder != target.orderKind) {
                 target.phase = OrderPhase::Idle;
                 return;
             }
-            if (now - target.orderedAt < m_settings.settle)
+            if (now - target.orderedAt < m_settings.confirmTimeout)
                 return;
-            // The order was accepted, and yet the target has something else: an engine that ignores the fencing number
-            // took a later order of a former holder that had been paused. The pause cannot be seen beforehand, its
-            // effect can: order again.
+            // The target accepted the order but reports a different state: an engine that ignores fencing numbers took
+            // a later order from a previous holder that had been paused. Such a pause cannot be detected in advance,
+            // but its effect can, so send the order again.
             ++m_counts.repeated;
             target.phase = OrderPhase::Idle;
         }
 
-        void followLease(const std::optional<LeaseHold>& hold, TimePoint now)
+        void updateLease(const std::optional<HeldLease>& hold, TimePoint now)
         {
             const LogOffset fencing = hold ? hold->fencing : 0;
             if (fencing == m_fencing)
@@ -158,32 +160,34 @@
             m_fencing = fencing;
             m_heldSince = now;
             for (auto& [name, target] : m_targets) {
-                target.forgetOrder();
-                target.reading = 0;
+                target.resetOrder();
+                target.pendingRead = 0;
                 target.notBefore = {};
-                target.waitsFor.clear();
+                target.blockedReason.clear();
             }
         }
 
-        /// The next target waits for this one while an order takes effect.
+        /// Reads four times as often while an order takes effect, because the next target waits for it.
         Duration readInterval(const OrderedTarget& target) const
         {
-            return target.phase == OrderPhase::Confirming ? m_settings.stateEvery / 4 : m_settings.stateEvery;
+            return target.phase == OrderPhase::Confirming ? m_settings.stateReadInterval / 4
+                                                          : m_settings.stateReadInterval;
         }
 
-        void addReads(TimePoint now, std::vector<OrderAction>& actions)
+        void addStateReads(TimePoint now, std::vector<OrderAction>& actions)
         {
             for (auto& [name, target] : m_targets) {
-                if (target.reading != 0 || now < target.readAt || target.phase == OrderPhase::Ordering)
+                if (target.pendingRead != 0 || now < target.nextReadAt || target.phase == OrderPhase::Ordering)
                     continue;
-                target.reading = ++m_lastRead;
-                target.readAt = now + readInterval(target);
-                actions.push_back(ReadState { name, target.address, target.reading });
+                target.pendingRead = ++m_lastRead;
+                target.nextReadAt = now + readInterval(target);
+                actions.push_back(ReadState { name, target.address, target.pendingRead });
             }
         }
 
-        /// Those whose pool has lost most come first, then those that have waited longest.
-        std::vector<OrderedTarget*> byNeed(TimePoint now)
+        /// @return targets that need an order: those in the pool with the lowest fraction of serving targets first,
+        /// then those whose state has differed longest.
+        std::vector<OrderedTarget*> targetsByPriority(TimePoint now)
         {
             struct Candidate {
                 OrderedTarget* target;
@@ -192,10 +196,13 @@
             std::vector<Candidate> candidates;
             for (auto& [name, target] : m_targets) {
                 const bool isReady = target.phase == OrderPhase::Idle || target.phase == OrderPhase::Granted;
-                if (isReady && target.isKnown(now, m_settings.stateKeep) && target.need() && !target.observed->loading)
-                    candidates.push_back({ &target, servingPart(target.pool, now) });
+                if (isReady && target.isStateFresh(now, m_settings.stateMaxAge) && target.requiredOrder()
+                    && !target.observed->loading)
+                    candidates.push_back({ &target, servingFraction(target.pool, now) });
                 else if (target.phase == OrderPhase::Idle)
-                    target.waitsFor = target.need() || target.observed ? "" : "its state is not known";
+                    target.blockedReason = target.requiredOrder() || target.observed
+                        ? ""
+                        : "no recent state has been read from the target";
             }
             std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
                 if (left.serving != right.serving)
@@ -210,7 +217,7 @@
         }
 
         struct PoolCount {
-            std::size_t declared = 0; ///< Those that are to serve.
+            std::size_t declared = 0; ///< Targets of the pool that are not leaving.
             std::size_t serving = 0;
         };
 
@@ -221,103 +228,106 @@
                 if (target.pool != pool)
                     continue;
                 count.declared += target.leaving ? 0 : 1;
-                count.serving += target.serves(now, m_settings.stateKeep) ? 1 : 0;
+                count.serving += target.serves(now, m_settings.stateMaxAge) ? 1 : 0;
             }
             return count;
         }
 
-        double servingPart(const PoolId& pool, TimePoint now) const
+        double servingFraction(const PoolId& pool, TimePoint now) const
         {
             const PoolCount count = countPool(pool, now);
             return count.declared ? static_cast<double>(count.serving) / static_cast<double>(count.declared) : 1;
         }
 
-        /// @return why the target may not be taken out of service now; empty when it may.
-        std::string poolNeedsIt(const OrderedTarget& target, TimePoint now) const
+        /// @return why the target may not be taken out of service now; empty if it may.
+        std::string poolObstacle(const OrderedTarget& target, TimePoint now) const
         {
-            if (!target.serves(now, m_settings.stateKeep))
+            if (!target.serves(now, m_settings.stateMaxAge))
                 return "";
             const PoolCount count = countPool(target.pool, now);
-            const auto part = static_cast<std::size_t>(static_cast<double>(count.declared) * m_settings.partAtOnce);
-            const std::size_t atOnce = std::max<std::size_t>(part, 1);
-            const std::size_t mustServe = std::max<std::size_t>(count.declared - std::min(atOnce, count.declared), 1);
-            if (count.serving > mustServe)
+            const auto unavailableShare
+                = static_cast<std::size_t>(static_cast<double>(count.declared) * m_settings.maxUnavailableFraction);
+            const std::size_t maxUnavailable = std::max<std::size_t>(unavailableShare, 1);
+            const std::size_t minServing
+                = std::max<std::size_t>(count.declared - std::min(maxUnavailable, count.declared), 1);
+            if (count.serving > minServing)
                 return "";
             if (count.serving == 1 && count.declared == 1)
                 return "it is the only target of its pool: add another, or set its state to leaving";
-            return "too few others of its pool serve";
+            return "too few other targets of its pool are serving";
         }
 
-        std::size_t loadsUnderWay() const
+        std::size_t loadsInProgress() const
         {
             return static_cast<std::size_t>(std::count_if(m_targets.begin(), m_targets.end(), [](const auto& entry) {
                 const OrderedTarget& target = entry.second;
-                const bool isOrdered = target.phase != OrderPhase::Idle && target.ordering != OrderKind::Role;
+                const bool isOrdered = target.phase != OrderPhase::Idle && target.orderKind != OrderKind::Role;
                 return isOrdered || (target.observed && target.observed->loading);
             }));
         }
 
-        /// @return what keeps an order from being sent now; empty when nothing does.
-        std::string obstacle(const OrderedTarget& target, const LeaseHold& hold, TimePoint now) const
+        /// @return why an order cannot be sent now; empty if it can.
+        std::string obstacle(const OrderedTarget& target, const HeldLease& hold, TimePoint now) const
         {
             if (now < target.notBefore)
-                return "an order failed, it is tried again shortly";
-            if (now > lastMoment(hold))
-                return "the lease is too near its end";
-            // Such a target would also take an order that the former holder sent just before its lease ended.
+                return "the previous order failed; waiting to retry";
+            if (now > latestSendTime(hold))
+                return "the lease expires too soon to send an order";
+            // A target that ignores fencing numbers would also accept an order that the previous holder sent just
+            // before its lease ended.
             if (!target.checksFencing && now < m_heldSince + m_settings.orderTimeout + requestSlack)
-                return "orders of the former lease holder may still be under way";
+                return "orders of the previous lease holder may still be in flight";
             if (target.phase == OrderPhase::Granted)
                 return "";
-            if (*target.need() != OrderKind::Role && loadsUnderWay() >= m_settings.loadsAtOnce)
-                return "other loads come first";
-            return poolNeedsIt(target, now);
+            if (*target.requiredOrder() != OrderKind::Role && loadsInProgress() >= m_settings.maxConcurrentLoads)
+                return "the limit of concurrent loads is reached";
+            return poolObstacle(target, now);
         }
 
-        TimePoint lastMoment(const LeaseHold& hold) const
+        TimePoint latestSendTime(const HeldLease& hold) const
         {
             return hold.until - m_settings.orderTimeout - requestSlack;
         }
 
-        void addOrders(const LeaseHold& hold, TimePoint now, std::vector<OrderAction>& actions)
+        void addOrders(const HeldLease& hold, TimePoint now, std::vector<OrderAction>& actions)
         {
-            bool isAsking = std::any_of(m_targets.begin(), m_targets.end(),
+            bool isGrantRequested = std::any_of(m_targets.begin(), m_targets.end(),
                 [](const auto& entry) { return entry.second.phase == OrderPhase::Asking; });
-            for (OrderedTarget* target : byNeed(now)) {
-                target->waitsFor = obstacle(*target, hold, now);
-                if (!target->waitsFor.empty())
+            for (OrderedTarget* target : targetsByPriority(now)) {
+                target->blockedReason = obstacle(*target, hold, now);
+                if (!target->blockedReason.empty())
                     continue;
-                target->ordering = *target->need();
+                target->orderKind = *target->requiredOrder();
                 if (!needsGrant(*target)) {
-                    actions.push_back(order(*target, hold));
+                    actions.push_back(makeOrder(*target, hold));
                     continue;
                 }
-                // One question at a time: with several, the store's answers and not the need would decide who comes
-                // first.
-                if (isAsking || now < m_askAgainAt) {
-                    target->waitsFor = "the weight store";
+                // Only one grant request at a time: with several outstanding, the order of the store's answers rather
+                // than the priority would decide which target loads first.
+                if (isGrantRequested || now < m_nextGrantRequestAt) {
+                    target->blockedReason = "waiting for a load grant from the weight store";
                     continue;
                 }
-                isAsking = true;
+                isGrantRequested = true;
                 target->phase = OrderPhase::Asking;
-                actions.push_back(AskLoad { target->name, target->wanted.model, target->wanted.version });
+                actions.push_back(RequestLoadGrant { target->name, target->desired.model, target->desired.version });
             }
         }
 
         bool needsGrant(const OrderedTarget& target) const
         {
-            return m_settings.asksWeightStore && target.ordering != OrderKind::Role
+            return m_settings.asksWeightStore && target.orderKind != OrderKind::Role
                 && target.phase != OrderPhase::Granted;
         }
 
-        SendOrder order(OrderedTarget& target, const LeaseHold& hold)
+        SendOrder makeOrder(OrderedTarget& target, const HeldLease& hold)
         {
             ++m_counts.sent;
             target.phase = OrderPhase::Ordering;
-            target.reading = 0;
-            const bool isRole = target.ordering == OrderKind::Role;
-            return { target.name, target.address, target.ordering, hold.fencing, isRole ? "" : target.wanted.model,
-                isRole ? "" : target.wanted.version, isRole ? target.wanted.role : "", lastMoment(hold) };
+            target.pendingRead = 0;
+            const bool isRole = target.orderKind == OrderKind::Role;
+            return { target.name, target.address, target.orderKind, hold.fencing, isRole ? "" : target.desired.model,
+                isRole ? "" : target.desired.version, isRole ? target.desired.role : "", latestSendTime(hold) };
         }
 
         const OrderSettings m_settings;
@@ -325,7 +335,7 @@
         std::uint64_t m_lastRead = 0;
         LogOffset m_fencing = 0;
         TimePoint m_heldSince {};
-        TimePoint m_askAgainAt {};
+        TimePoint m_nextGrantRequestAt {};
         OrderCounts m_counts;
     };
 
--- a/tests/StewardWorld.h
+++ b/tests/StewardSimulation.h
@@ -10,14 +10,14 @@
 
 using namespace std::chrono_literals;
 
-/// A model engine as far as orders go.
+/// A simulated model engine that handles orders.
 struct FakeEngine {
     bool checksFencing = false;
     ObservedState state;
-    ObservedState loaded; ///< What the load under way brings.
+    ObservedState loaded; ///< The model and version that the load in progress will result in.
     TimePoint loadedAt {};
 
-    OrderAnswer take(const SendOrder& order, TimePoint now)
+    OrderAnswer handleOrder(const SendOrder& order, TimePoint now)
     {
         if (checksFencing && order.fencing < state.fencing)
             return OrderAnswer::Superseded;
@@ -45,14 +45,14 @@
     bool serves() const { return !state.loading && !state.model.empty(); }
 };
 
-/// Several stewards before one log and some engines, on one virtual clock. A paused steward keeps its next step in its
-/// hand.
-class StewardWorld {
+/// Simulates several stewards, one log and some engines on a virtual clock. A paused steward keeps its next, already
+/// chosen action and performs it when it resumes.
+class StewardSimulation {
 public:
-    explicit StewardWorld(std::size_t stewardCount)
+    explicit StewardSimulation(std::size_t stewardCount)
     {
         for (std::size_t i = 0; i < stewardCount; ++i) {
-            m_stewards.push_back({ LeaseKeeper::make("s" + std::to_string(i), {}), TargetOrders::make(settings()) });
+            m_stewards.push_back({ LeaseContender::make("s" + std::to_string(i), {}), TargetOrders::make(settings()) });
         }
     }
 
@@ -73,7 +73,7 @@
         configure();
     }
 
-    void want(const std::string& version)
+    void setDesiredVersion(const std::string& version)
     {
         for (config::Target& target : view.targets)
             target.version = version;
@@ -92,26 +92,26 @@
             step();
     }
 
-    void pause(std::size_t who, Duration time) { m_stewards[who].pausedUntil = now + time; }
+    void pause(std::size_t index, Duration time) { m_stewards[index].pausedUntil = now + time; }
 
-    /// The orders of a steward's next tick leave only after @p delay: a pause between the look at the lease and the
+    /// Delays the orders of a steward's next tick by @p delay, which simulates a pause between the lease check and the
     /// send.
-    void delayNextOrders(std::size_t who, Duration delay) { m_stewards[who].delayOfNext = delay; }
+    void delayNextOrders(std::size_t index, Duration delay) { m_stewards[index].nextOrderDelay = delay; }
 
     std::optional<std::size_t> holder() const
     {
         for (std::size_t i = 0; i < m_stewards.size(); ++i) {
-            if (m_stewards[i].keeper->held(now))
+            if (m_stewards[i].contender->held(now))
                 return i;
         }
         return std::nullopt;
     }
 
-    std::size_t holders() const
+    std::size_t holderCount() const
     {
         std::size_t n = 0;
         for (const Steward& steward : m_stewards)
-            n += steward.keeper->held(now) ? 1 : 0;
+            n += steward.contender->held(now) ? 1 : 0;
         return n;
     }
 
@@ -123,35 +123,35 @@
         return n;
     }
 
-    bool allHave(const std::string& version) const
+    bool allServeVersion(const std::string& version) const
     {
         return std::all_of(engines.begin(), engines.end(),
             [&](const auto& entry) { return entry.second.serves() && entry.second.state.version == version; });
     }
 
-    LeaseKeeper& keeper(std::size_t who) { return *m_stewards[who].keeper; }
-    TargetOrders& orders(std::size_t who) { return *m_stewards[who].orders; }
+    LeaseContender& contender(std::size_t index) { return *m_stewards[index].contender; }
+    TargetOrders& orders(std::size_t index) { return *m_stewards[index].orders; }
 
     TimePoint now { 1h };
     config::FaultyLog log;
     config::ConfigView view;
     std::map<std::string, FakeEngine> engines;
     std::function<void()> onStep = [] {};
-    std::function<void(std::size_t who, const SendOrder&, OrderAnswer)> onOrder
+    std::function<void(std::size_t index, const SendOrder&, OrderAnswer)> onOrder
         = [](std::size_t, const SendOrder&, OrderAnswer) {};
-    std::size_t mostHolders = 0;
+    std::size_t maxHolders = 0;
 
 private:
     struct Steward {
-        std::unique_ptr<LeaseKeeper> keeper;
+        std::unique_ptr<LeaseContender> contender;
         std::unique_ptr<TargetOrders> orders;
         TimePoint pausedUntil {};
-        std::optional<LeaseAction> inHand {};
-        Duration delayOfNext {};
+        std::optional<LeaseAction> pendingAction {};
+        Duration nextOrderDelay {};
     };
 
-    struct Flight {
-        std::size_t who = 0;
+    struct DelayedOrder {
+        std::size_t index = 0;
         SendOrder order;
         TimePoint at {};
     };
@@ -159,7 +159,7 @@
     static OrderSettings settings()
     {
         OrderSettings settings;
-        settings.settle = 3s;
+        settings.confirmTimeout = 3s;
         return settings;
     }
 
@@ -172,80 +172,84 @@
             if (now >= m_stewards[i].pausedUntil)
                 act(i);
         }
-        mostHolders = std::max(mostHolders, holders());
+        maxHolders = std::max(maxHolders, holderCount());
         onStep();
     }
 
-    void act(std::size_t who)
+    void act(std::size_t index)
     {
-        Steward& steward = m_stewards[who];
-        // Two steps at most: a pause may fall between any two, and between an action's choice and its doing.
+        Steward& steward = m_stewards[index];
+        // At most two lease actions per step: a pause may fall between any two actions, and between choosing an action
+        // and performing it.
         for (int n = 0; n < 2; ++n) {
-            if (!steward.inHand)
-                steward.inHand = steward.keeper->next(now);
+            if (!steward.pendingAction)
+                steward.pendingAction = steward.contender->next(now);
             if (now < steward.pausedUntil)
                 return;
-            carryOut(steward, *std::exchange(steward.inHand, std::nullopt));
+            carryOut(steward, *std::exchange(steward.pendingAction, std::nullopt));
         }
-        steward.inHand = steward.keeper->next(now);
-        for (const OrderAction& action : steward.orders->tick(steward.keeper->held(now), now))
-            std::visit([&](const auto& it) { handle(who, it); }, action);
+        steward.pendingAction = steward.contender->next(now);
+        for (const OrderAction& action : steward.orders->tick(steward.contender->held(now), now))
+            std::visit([&](const auto& it) { handle(index, it); }, action);
         if (now < steward.pausedUntil)
-            steward.delayOfNext = {};
+            steward.nextOrderDelay = {};
     }
 
     void carryOut(Steward& steward, const LeaseAction& action)
     {
         if (action.type == LeaseAction::Type::Append) {
             if (log.append(config::leaseStream, action.record).ok())
-                steward.keeper->appended(now);
+                steward.contender->appended(now);
             else
-                steward.keeper->failed(now);
+                steward.contender->failed(now);
         }
         if (action.type != LeaseAction::Type::Read)
             return;
         const auto batch = log.read(config::leaseStream, action.from, 0ms);
         if (batch.ok())
-            steward.keeper->read(*batch, now);
+            steward.contender->read(*batch, now);
         else
-            steward.keeper->failed(now);
+            steward.contender->failed(now);
     }
 
-    void handle(std::size_t who, const ReadState& read)
+    void handle(std::size_t index, const ReadState& read)
     {
-        m_stewards[who].orders->stateRead(read.target, read.number, engines.at(read.address).state, now);
+        m_stewards[index].orders->stateRead(read.target, read.number, engines.at(read.address).state, now);
     }
 
-    void handle(std::size_t who, const AskLoad& ask) { m_stewards[who].orders->loadGranted(ask.target, now); }
+    void handle(std::size_t index, const RequestLoadGrant& request)
+    {
+        m_stewards[index].orders->loadGranted(request.target, now);
+    }
 
-    void handle(std::size_t who, const SendOrder& order)
+    void handle(std::size_t index, const SendOrder& order)
     {
-        const Duration delay = m_stewards[who].delayOfNext;
-        m_flights.push_back({ who, order, now + delay });
+        const Duration delay = m_stewards[index].nextOrderDelay;
+        m_delayedOrders.push_back({ index, order, now + delay });
         if (delay > Duration::zero())
-            m_stewards[who].pausedUntil = now + delay;
+            m_stewards[index].pausedUntil = now + delay;
         else
             deliver();
     }
 
     void deliver()
     {
-        std::vector<Flight> due;
-        std::erase_if(m_flights, [&](const Flight& flight) {
-            if (flight.at > now)
+        std::vector<DelayedOrder> due;
+        std::erase_if(m_delayedOrders, [&](const DelayedOrder& delayed) {
+            if (delayed.at > now)
                 return false;
-            due.push_back(flight);
+            due.push_back(delayed);
             return true;
         });
-        for (const Flight& flight : due) {
-            const OrderAnswer answer = engines.at(flight.order.address).take(flight.order, now);
-            onOrder(flight.who, flight.order, answer);
-            m_stewards[flight.who].orders->orderAnswered(flight.order.target, answer, now);
+        for (const DelayedOrder& delayed : due) {
+            const OrderAnswer answer = engines.at(delayed.order.address).handleOrder(delayed.order, now);
+            onOrder(delayed.index, delayed.order, answer);
+            m_stewards[delayed.index].orders->orderAnswered(delayed.order.target, answer, now);
         }
     }
 
     std::vector<Steward> m_stewards;
-    std::vector<Flight> m_flights;
+    std::vector<DelayedOrder> m_delayedOrders;
 };
 
 } // namespace sagechute::steward
--- a/tests/StewardTest.cpp
+++ b/tests/StewardTest.cpp
@@ -1,4 +1,4 @@
-#include "StewardWorld.h"
+#include "StewardSimulation.h"
 
 #include <rapidcheck.h>
 
@@ -10,29 +10,29 @@
 
 constexpr std::size_t stewardCount = 3;
 
-/// Disturbs a world, one number after the other.
-void disturb(StewardWorld& world, std::uint32_t number)
+/// Injects one fault or configuration change, selected by @p number.
+void injectFault(StewardSimulation& simulation, std::uint32_t number)
 {
-    const std::size_t who = number / 16 % stewardCount;
+    const std::size_t index = number / 16 % stewardCount;
     const auto seconds = std::chrono::seconds(number / 64 % 30);
     switch (number % 8) {
     case 0:
-        return world.pause(who, seconds);
+        return simulation.pause(index, seconds);
     case 1:
-        return world.delayNextOrders(who, seconds);
+        return simulation.delayNextOrders(index, seconds);
     case 2:
-        return world.log.faults.push_back(static_cast<Fault>(number / 64 % 4));
+        return simulation.log.faults.push_back(static_cast<Fault>(number / 64 % 4));
     case 3:
-        world.log.isOut = !world.log.isOut;
+        simulation.log.isOut = !simulation.log.isOut;
         return;
     case 4:
-        return world.log.deliverLate();
+        return simulation.log.deliverLate();
     case 5:
-        return world.want(std::to_string(number / 64 % 3));
+        return simulation.setDesiredVersion(std::to_string(number / 64 % 3));
     case 6:
-        return world.log.keepFrom(config::leaseStream,
-            world.log.end(config::leaseStream)
-                - std::min<LogOffset>(number / 64 % 4, world.log.end(config::leaseStream)));
+        return simulation.log.keepFrom(config::leaseStream,
+            simulation.log.end(config::leaseStream)
+                - std::min<LogOffset>(number / 64 % 4, simulation.log.end(config::leaseStream)));
     default:
         return;
     }
@@ -45,140 +45,144 @@
 
 } // namespace
 
-TEST_CASE("Stewards with pauses and a faulty log: one holder at a time, and targets converge")
+TEST_CASE("Stewards with pauses and a faulty log have at most one lease holder, and targets converge")
 {
-    // Symptom: two stewards order different versions in turn, or an engine stays on an old version for good.
-    // Sequence: any mix of paused holders, orders that leave late, lost and late lease records, outages and retention.
-    // Cause: a lease judged by anything but the log's order, or an order that is believed without reading the state
-    // back.
+    // Guards against two stewards alternately ordering different versions, and against an engine that stays on an old
+    // version permanently. Either can follow from a mix of paused holders, delayed orders, lost or late lease records,
+    // outages and expired records if the lease is decided by anything other than the order of the log, or if an order
+    // is assumed to be effective without reading the state back.
     REQUIRE(rc::check("stewards", [] {
         const auto numbers
             = *rc::gen::container<std::vector<std::uint32_t>>(rc::gen::inRange<std::uint32_t>(0, 1U << 20));
-        StewardWorld world(stewardCount);
+        StewardSimulation simulation(stewardCount);
         for (const char* name : { "a1", "a2", "a3" })
-            world.addEngine(name, "fencing", true);
+            simulation.addEngine(name, "fencing", true);
         for (const char* name : { "b1", "b2", "b3" })
-            world.addEngine(name, "ignoring", false);
+            simulation.addEngine(name, "ignoring", false);
         std::map<std::string, LogOffset> lastFencing;
-        world.onOrder = [&](std::size_t, const SendOrder& order, OrderAnswer answer) {
+        simulation.onOrder = [&](std::size_t, const SendOrder& order, OrderAnswer answer) {
             LogOffset& last = lastFencing[order.address];
-            const bool isEffective = answer == OrderAnswer::Accepted && world.engines.at(order.address).checksFencing;
+            const bool isEffective
+                = answer == OrderAnswer::Accepted && simulation.engines.at(order.address).checksFencing;
             RC_ASSERT(!isEffective || order.fencing >= last);
             last = std::max(last, order.fencing);
         };
         for (const std::uint32_t number : numbers) {
-            disturb(world, number);
-            world.run(std::chrono::milliseconds(number / 8 % 5000));
+            injectFault(simulation, number);
+            simulation.run(std::chrono::milliseconds(number / 8 % 5000));
         }
-        world.log.isOut = false;
-        world.log.faults.clear();
-        world.log.deliverLate();
-        world.want("9");
-        world.run(180s);
-        RC_ASSERT(world.mostHolders <= 1U);
-        RC_ASSERT(world.allHave("9"));
+        simulation.log.isOut = false;
+        simulation.log.faults.clear();
+        simulation.log.deliverLate();
+        simulation.setDesiredVersion("9");
+        simulation.run(180s);
+        RC_ASSERT(simulation.maxHolders <= 1U);
+        RC_ASSERT(simulation.allServeVersion("9"));
     }));
 }
 
-TEST_CASE("An upgrade never takes a whole pool down, and only goes on while the rest serves")
+TEST_CASE("An upgrade keeps most of a pool serving and only continues while the other targets serve")
 {
-    // Symptom: no target of a pool answers during an upgrade. Sequence: a new version is wanted for all targets; one of
-    // them hangs. Cause: orders to all at once, or a next order before the former target is back.
-    StewardWorld world(1);
+    // Guards against a pool without any serving target during an upgrade. This happens if a new version is ordered for
+    // all targets at once, or if the next target is ordered before the previous one serves again, for example because
+    // that one hangs.
+    StewardSimulation simulation(1);
     for (int i = 0; i < 12; ++i)
-        world.addEngine("e" + std::to_string(10 + i), "llm", true);
+        simulation.addEngine("e" + std::to_string(10 + i), "llm", true);
     std::size_t leastServing = 12;
-    world.onStep = [&] { leastServing = std::min(leastServing, world.serving("llm")); };
-    world.run(5s);
-    world.want("2");
-    world.run(60s);
-    CHECK(world.allHave("2"));
+    simulation.onStep = [&] { leastServing = std::min(leastServing, simulation.serving("llm")); };
+    simulation.run(5s);
+    simulation.setDesiredVersion("2");
+    simulation.run(60s);
+    CHECK(simulation.allServeVersion("2"));
     CHECK(leastServing == 8);
 
-    world.onStep = [&] {
-        FakeEngine& broken = world.engines.at("e10");
-        broken.loadedAt = broken.state.loading ? world.now + 10s : broken.loadedAt;
+    simulation.onStep = [&] {
+        FakeEngine& broken = simulation.engines.at("e10");
+        broken.loadedAt = broken.state.loading ? simulation.now + 10s : broken.loadedAt;
         for (const char* name : { "e11", "e12", "e13" })
-            world.engines.at(name).loadedAt = world.engines.at(name).state.loading ? world.now + 10s : TimePoint {};
+            simulation.engines.at(name).loadedAt
+                = simulation.engines.at(name).state.loading ? simulation.now + 10s : TimePoint {};
     };
-    world.want("3");
-    world.run(60s);
-    CHECK(world.serving("llm") == 8);
+    simulation.setDesiredVersion("3");
+    simulation.run(60s);
+    CHECK(simulation.serving("llm") == 8);
 }
 
-TEST_CASE("The only target of a pool is upgraded once it is leaving")
+TEST_CASE("The only target of a pool is upgraded only after it is declared leaving")
 {
-    StewardWorld world(1);
-    world.addEngine("only", "llm", false);
-    world.want("2");
-    world.run(30s);
-    CHECK(world.engines.at("only").state.version == "1");
-    CHECK(world.orders(0).progress(world.now).at(0).waitsFor.find("only target") != std::string::npos);
-    world.view.targets[0].state = config::TargetState::Leaving;
-    world.configure();
-    world.run(20s);
-    CHECK(world.engines.at("only").state.version == "2");
+    StewardSimulation simulation(1);
+    simulation.addEngine("only", "llm", false);
+    simulation.setDesiredVersion("2");
+    simulation.run(30s);
+    CHECK(simulation.engines.at("only").state.version == "1");
+    CHECK(simulation.orders(0).progress(simulation.now).at(0).blockedReason.find("only target") != std::string::npos);
+    simulation.view.targets[0].state = config::TargetState::Leaving;
+    simulation.configure();
+    simulation.run(20s);
+    CHECK(simulation.engines.at("only").state.version == "2");
 }
 
 TEST_CASE("Golden: order by a lapsed lease holder to a target without fencing")
 {
-    // Symptom: an engine falls back to an old version after an upgrade. Sequence: the holder looks at its lease, is
-    // paused, loses the lease; its successor upgrades; the old order arrives. Cause: the engine ignores the fencing
-    // number, and no check can exclude a pause between check and send. The state read back shows it, and the successor
-    // orders again; an engine that checks refuses at once.
-    StewardWorld world(2);
-    world.addEngine("checks", "one", true);
-    world.addEngine("checks2", "one", true);
-    world.addEngine("ignores", "two", false);
-    world.addEngine("ignores2", "two", false);
+    // Guards against an engine that returns to an old version after an upgrade: the holder checks its lease, is paused
+    // and loses the lease, its successor upgrades the engine, and then the old order arrives. No check can exclude a
+    // pause between check and send. An engine that checks fencing numbers rejects the old order; for one that ignores
+    // them the successor sees the difference in the state read back and orders again.
+    StewardSimulation simulation(2);
+    simulation.addEngine("checks", "one", true);
+    simulation.addEngine("checks2", "one", true);
+    simulation.addEngine("ignores", "two", false);
+    simulation.addEngine("ignores2", "two", false);
     std::ostringstream out;
-    world.onOrder = [&](std::size_t who, const SendOrder& order, OrderAnswer answer) {
+    simulation.onOrder = [&](std::size_t index, const SendOrder& order, OrderAnswer answer) {
         constexpr std::array<const char*, 3> answers { "accepted", "superseded", "failed" };
-        out << secondsOf(world.now) << " s" << who << " orders " << order.address << " " << toString(order.kind) << " "
-            << order.version << " fencing " << order.fencing << (world.now > order.notAfter ? " (after its lease)" : "")
-            << ": " << answers[static_cast<std::size_t>(answer)] << "\n";
+        out << secondsOf(simulation.now) << " s" << index << " orders " << order.address << " " << toString(order.kind)
+            << " " << order.version << " fencing " << order.fencing
+            << (simulation.now > order.sendDeadline ? " (after its lease)" : "") << ": "
+            << answers[static_cast<std::size_t>(answer)] << "\n";
     };
     std::map<std::string, std::string> shown;
-    world.onStep = [&] {
-        for (const auto& [name, engine] : world.engines) {
+    simulation.onStep = [&] {
+        for (const auto& [name, engine] : simulation.engines) {
             const std::string text
                 = engine.state.loading ? "loading " + engine.loaded.version : "has " + engine.state.version;
             if (std::exchange(shown[name], text) != text)
-                out << secondsOf(world.now) << " " << name << " " << text << "\n";
+                out << secondsOf(simulation.now) << " " << name << " " << text << "\n";
         }
     };
-    world.run(30s);
-    const std::size_t former = *world.holder();
+    simulation.run(30s);
+    const std::size_t former = *simulation.holder();
     out << "holder s" << former << ", version 2 wanted, its next orders hang for 40s\n";
-    world.delayNextOrders(former, 40s);
-    world.want("2");
-    world.run(30s);
+    simulation.delayNextOrders(former, 40s);
+    simulation.setDesiredVersion("2");
+    simulation.run(30s);
     out << "version 3 wanted\n";
-    world.want("3");
-    world.run(60s);
-    CHECK(world.allHave("3"));
+    simulation.setDesiredVersion("3");
+    simulation.run(60s);
+    CHECK(simulation.allServeVersion("3"));
     config::checkGolden("steward-lapsed-holder", out.str());
 }
 
 TEST_CASE("Golden: snapshot by a paused steward")
 {
-    // Symptom: settings of ten minutes ago are back after a restart. Sequence: a steward takes a snapshot and is
-    // paused; its successor writes a later one; records expire; the first wakes up and writes; a router starts. Cause:
-    // the last snapshot taken for the newest.
+    // Guards against a router that starts with configuration that is ten minutes old: a steward takes a snapshot and is
+    // paused, its successor writes a later one, the records expire, and the first steward resumes and appends its
+    // snapshot. The last snapshot in the stream is then not the newest one.
     config::FaultyLog log;
     std::ostringstream out;
     config::Member paused(log, {});
     config::Member successor(log, {});
     log.put(config::configStream, config::encodeChange(config::putCustomer("c1", "tellers", 1, 0)));
     REQUIRE(paused.follower->readToEnd().ok());
-    const std::string inHand = paused.replica->snapshot();
+    const std::string delayedSnapshot = paused.replica->snapshot();
     out << "s0 takes a snapshot of offset " << paused.replica->offset() << " and is paused\n";
     log.put(config::configStream, config::encodeChange(config::putCustomer("c2", "tellers", 2, 1)));
     REQUIRE(successor.follower->readToEnd().ok());
     log.put(config::snapshotStream, successor.replica->snapshot());
     out << "s1 writes a snapshot of offset " << successor.replica->offset() << "\n";
     log.keepFrom(config::configStream, 3);
-    log.put(config::snapshotStream, inHand);
+    log.put(config::snapshotStream, delayedSnapshot);
     out << "records before 3 are gone; s0 wakes up and writes its snapshot of offset 1\n";
     const auto found = config::newestSnapshot(log, *successor.replica).value();
     out << "newest snapshot: at " << found->at << " covers " << found->covers << "\n";
@@ -186,61 +190,62 @@
     REQUIRE(router.follower->readToEnd().ok());
     out << "a router starts: offset " << router.replica->offset() << ", tellers has weight "
         << router.replica->view()->findCustomer({ "tellers" })->weight << "\n";
-    out << "and takes the late one: " << *router.follower->takeSnapshot(inHand) << "\n";
+    out << "and takes the late one: " << *router.follower->takeSnapshot(delayedSnapshot) << "\n";
     config::checkGolden("steward-paused-snapshot", out.str());
 }
 
-TEST_CASE("A lease given up at a planned stop is taken at once, and its former holder gives no more orders")
+TEST_CASE("A lease released at a planned stop is acquired at once, and its previous holder sends no more orders")
 {
-    StewardWorld world(2);
-    world.run(30s);
-    const std::size_t former = *world.holder();
-    world.keeper(former).release();
-    world.run(3s);
-    CHECK(world.keeper(former).released());
-    CHECK(world.holder() == 1 - former);
+    StewardSimulation simulation(2);
+    simulation.run(30s);
+    const std::size_t former = *simulation.holder();
+    simulation.contender(former).release();
+    simulation.run(3s);
+    CHECK(simulation.contender(former).released());
+    CHECK(simulation.holder() == 1 - former);
 }
 
-TEST_CASE("Snapshots are due before the records that they replace expire, and on a quiet fleet too")
+TEST_CASE("Snapshots are due before the records that they replace expire, even without configuration changes")
 {
-    // Symptom: a restarted router finds neither records nor a snapshot. Sequence: no change for longer than the log
-    // keeps records. Cause: a schedule that counts changes only, or one that does not know how long the log keeps them.
+    // Guards against a restarted router that finds neither records nor a snapshot. This happens after a period without
+    // changes that is longer than the log's retention, if the schedule counts only changes or does not know the
+    // retention.
     SnapshotSchedule schedule({});
     TimePoint now { 1h };
-    schedule.sawLog(1, 10, now);
+    schedule.observeLog(1, 10, now);
     CHECK_FALSE(schedule.due(0, now));
     CHECK(schedule.due(10, now));
     schedule.wrote(10, now);
     CHECK_FALSE(schedule.due(10, now + 9min));
     CHECK(schedule.due(10, now + 10min));
     now += 3min;
-    schedule.sawLog(11, 20, now);
-    REQUIRE(schedule.learnedAge() == Duration(3min));
+    schedule.observeLog(11, 20, now);
+    REQUIRE(schedule.observedRetention() == Duration(3min));
     schedule.wrote(20, now);
     CHECK_FALSE(schedule.due(20, now + 59s));
     CHECK(schedule.due(20, now + 60s));
     CHECK(schedule.due(24, now + 10s));
 }
 
-TEST_CASE("A hostile record in the lease stream never crashes and never takes the lease")
+TEST_CASE("A malformed record in the lease stream never crashes a steward and never changes the holder")
 {
     REQUIRE(rc::check("lease", [] {
-        StewardWorld world(1);
-        world.run(2s);
+        StewardSimulation simulation(1);
+        simulation.run(2s);
         const auto bytes = *rc::gen::arbitrary<std::string>();
-        std::string copy = world.log.kept(config::leaseStream).back().data;
+        std::string copy = simulation.log.kept(config::leaseStream).back().data;
         copy.insert(*rc::gen::inRange<std::size_t>(0, copy.size() + 1), bytes);
-        world.log.put(config::leaseStream, copy);
-        world.log.put(config::leaseStream, bytes);
-        world.run(5s);
-        RC_ASSERT(world.holders() == 1U);
+        simulation.log.put(config::leaseStream, copy);
+        simulation.log.put(config::leaseStream, bytes);
+        simulation.run(5s);
+        RC_ASSERT(simulation.holderCount() == 1U);
     }));
 }
 
-TEST_CASE("A state read before an order does not tell what became of it")
+TEST_CASE("A state read that started before an order does not confirm or repeat the order")
 {
-    // Symptom: a target is ordered to load twice in a row. Sequence: a read is under way when an order leaves, and is
-    // answered late. Cause: an answer taken for newer than it is.
+    // Guards against ordering a load twice in a row: a state read is in flight when the order is sent, its result
+    // arrives late, and is mistaken for the state after the order.
     const auto orders = TargetOrders::make({});
     TimePoint now { 1h };
     config::ConfigView view;
@@ -254,7 +259,7 @@
         target.version = "2";
     }
     orders->configure(view, now);
-    const LeaseHold hold { 7, now + 60s };
+    const HeldLease hold { 7, now + 60s };
     const ObservedState old { "m", "1", "", 0, false };
     std::map<std::string, std::uint64_t> reads;
     const auto tick = [&] {
@@ -270,7 +275,7 @@
     tick();
     orders->stateRead({ "a" }, reads["a"], old, now);
     now += 2s;
-    REQUIRE(tick().empty()); // The other one has not told its state: it might not serve.
+    REQUIRE(tick().empty()); // The state of "b" is unknown: it might not be serving.
     const std::uint64_t underWay = reads["a"];
     orders->stateRead({ "b" }, reads["b"], old, now);
     REQUIRE(tick() == "a");
@@ -281,28 +286,28 @@
     tick();
     orders->stateRead({ "a" }, reads["a"], old, now);
     orders->stateRead({ "b" }, reads["b"], old, now);
-    CHECK(orders->counts().repeated == 1); // A read after the order shows that it had no effect.
+    CHECK(orders->counts().repeated == 1); // A read that started after the order shows that the order had no effect.
     CHECK(tick() == "a");
 }
 
-TEST_CASE("A holder counts its term from when it sent the record, not from when it read it back")
+TEST_CASE("A holder measures its term from when it sent the record, not from when it read it back")
 {
-    // Symptom: two stewards give orders for some seconds. Sequence: the holder's renewal is taken at once, its reply
-    // comes late; others count their wait from the record. Cause: a term that begins with the reply.
-    const auto keeper = LeaseKeeper::make("a", {});
+    // Guards against two stewards sending orders for some seconds: the holder's renewal is stored at once but the reply
+    // arrives late. Other processes measure the term from the record, so the holder must not measure it from the reply.
+    const auto contender = LeaseContender::make("a", {});
     const TimePoint sent { 1h };
-    REQUIRE(keeper->next(sent).type == LeaseAction::Type::Read);
-    keeper->read({ 1, 1, {} }, sent);
-    const LeaseAction action = keeper->next(sent);
+    REQUIRE(contender->next(sent).type == LeaseAction::Type::Read);
+    contender->read({ 1, 1, {} }, sent);
+    const LeaseAction action = contender->next(sent);
     REQUIRE(action.type == LeaseAction::Type::Append);
-    keeper->appended(sent + 8s);
-    keeper->read({ 1, 2, { { 1, action.record } } }, sent + 8s);
-    REQUIRE(keeper->held(sent + 8s));
-    CHECK(keeper->held(sent + 8s)->fencing == 1);
-    CHECK_FALSE(keeper->held(sent + 9s));
+    contender->appended(sent + 8s);
+    contender->read({ 1, 2, { { 1, action.record } } }, sent + 8s);
+    REQUIRE(contender->held(sent + 8s));
+    CHECK(contender->held(sent + 8s)->fencing == 1);
+    CHECK_FALSE(contender->held(sent + 9s));
 }
 
-TEST_CASE("Loads wait for the weight store one at a time, those whose pool has lost most first")
+TEST_CASE("Load grants are requested one at a time, for the pool with the lowest serving fraction first")
 {
     OrderSettings settings;
     settings.asksWeightStore = true;
@@ -320,12 +325,12 @@
         view.targets.push_back(target);
     }
     orders->configure(view, now);
-    const LeaseHold hold { 7, now + 60s };
-    const auto asked = [&] {
+    const HeldLease hold { 7, now + 60s };
+    const auto requestedGrants = [&] {
         std::vector<std::string> names;
         for (const OrderAction& action : orders->tick(hold, now)) {
-            if (const auto* ask = std::get_if<AskLoad>(&action))
-                names.push_back(ask->target.value);
+            if (const auto* request = std::get_if<RequestLoadGrant>(&action))
+                names.push_back(request->target.value);
             if (const auto* read = std::get_if<ReadState>(&action)) {
                 const bool isEmpty = read->target.value == "b2";
                 orders->stateRead(
@@ -334,14 +339,14 @@
         }
         return names;
     };
-    CHECK(asked().empty());
-    CHECK(asked() == std::vector<std::string> { "b2" });
-    CHECK(asked().empty());
+    CHECK(requestedGrants().empty());
+    CHECK(requestedGrants() == std::vector<std::string> { "b2" });
+    CHECK(requestedGrants().empty());
     orders->loadRefused({ "b2" }, 5s, now);
     now += 4s;
-    CHECK(asked().empty());
+    CHECK(requestedGrants().empty());
     now += 1s;
-    CHECK(asked() == std::vector<std::string> { "b2" });
+    CHECK(requestedGrants() == std::vector<std::string> { "b2" });
     orders->loadGranted({ "b2" }, now);
     const auto actions = orders->tick(hold, now);
     CHECK(std::any_of(actions.begin(), actions.end(), [](const OrderAction& action) {
