--- a/apps/sagechute-steward/Daemon.cpp
+++ b/apps/sagechute-steward/Daemon.cpp
@@ -80,12 +80,12 @@
         hold.reset();
     for (const OrderAction& action : m_orders->tick(hold, now))
         m_targets->execute(action);
-    show(now);
+    publishStatus(now);
 }
 
 void Daemon::handleEvents(TimePoint now)
 {
-    for (const TargetEvent& event : m_targets->take())
+    for (const TargetEvent& event : m_targets->takeEvents())
         std::visit([&](const auto& it) { handle(it, now); }, event);
 }
 
@@ -135,7 +135,7 @@
             { { "remedy", "None needed: the lease expires after its term" } });
 }
 
-void Daemon::show(TimePoint now)
+void Daemon::publishStatus(TimePoint now)
 {
     StewardStatus status;
     status.self = m_self;
@@ -147,7 +147,7 @@
     status.snapshots = m_config->snapshotsWritten();
     status.targets = m_orders->progress(now);
     status.counts = m_orders->counts();
-    m_pages.show(std::move(status));
+    m_pages.update(std::move(status));
 }
 
 } // namespace sagechute::steward
--- a/apps/sagechute-steward/Daemon.h
+++ b/apps/sagechute-steward/Daemon.h
@@ -24,7 +24,7 @@
     void tick(TimePoint now);
     void handleEvents(TimePoint now);
     void stop();
-    void show(TimePoint now);
+    void publishStatus(TimePoint now);
     void logLeaseChange(const std::optional<HeldLease>&);
 
     void handle(const StateAnswer&, TimePoint now);
--- a/apps/sagechute-steward/LeaseRunner.cpp
+++ b/apps/sagechute-steward/LeaseRunner.cpp
@@ -39,12 +39,12 @@
     return m_contender->holder();
 }
 
-bool LeaseRunner::release(Duration most)
+bool LeaseRunner::release(Duration timeout)
 {
     std::unique_lock lock(m_mutex);
     m_contender->release();
     m_changed.notify_all();
-    return m_changed.wait_for(lock, most, [this] { return m_contender->released(); });
+    return m_changed.wait_for(lock, timeout, [this] { return m_contender->released(); });
 }
 
 void LeaseRunner::run()
--- a/apps/sagechute-steward/LeaseRunner.h
+++ b/apps/sagechute-steward/LeaseRunner.h
@@ -21,8 +21,8 @@
     std::string holder() const;
 
     /// Releases the lease and waits until the log confirms it.
-    /// @return false if that takes longer than @p most; the lease then expires by itself.
-    bool release(Duration most);
+    /// @return false if that takes longer than @p timeout; the lease then expires by itself.
+    bool release(Duration timeout);
 
 private:
     void run();
--- a/apps/sagechute-steward/StatusPages.cpp
+++ b/apps/sagechute-steward/StatusPages.cpp
@@ -73,7 +73,7 @@
         { &prometheus::BuildCounter().Name(name).Help(help).Register(m_metrics.registry()).Add({}), value });
 }
 
-void StatusPages::show(StewardStatus status)
+void StatusPages::update(StewardStatus status)
 {
     for (const Gauge& it : m_gauges)
         it.gauge->Set(it.value(status));
--- a/apps/sagechute-steward/StatusPages.h
+++ b/apps/sagechute-steward/StatusPages.h
@@ -30,7 +30,7 @@
     StatusPages();
 
     /// Replaces the status that the pages show.
-    void show(StewardStatus);
+    void update(StewardStatus);
 
     /// Responds without blocking; callable from any thread.
     void handle(net::ServerExchange&);
--- a/apps/sagechute-steward/TargetClient.cpp
+++ b/apps/sagechute-steward/TargetClient.cpp
@@ -120,7 +120,7 @@
     std::visit([this](const auto& it) { send(it); }, action);
 }
 
-std::vector<TargetEvent> TargetClient::take()
+std::vector<TargetEvent> TargetClient::takeEvents()
 {
     const std::lock_guard lock(m_mutex);
     return std::exchange(m_events, {});
--- a/apps/sagechute-steward/TargetClient.h
+++ b/apps/sagechute-steward/TargetClient.h
@@ -34,7 +34,7 @@
     void execute(const OrderAction&);
 
     /// @return the events queued since the last call.
-    std::vector<TargetEvent> take();
+    std::vector<TargetEvent> takeEvents();
 
     /// @return number of requests in flight.
     std::size_t inFlight() const { return m_inFlight; }
--- a/include/sagechute/Steward.h
+++ b/include/sagechute/Steward.h
@@ -21,18 +21,18 @@
 struct LeaseSettings {
     Duration term = std::chrono::seconds(
         12); ///< Time without a record of the holder after which another process may acquire the lease.
-    Duration margin
-        = std::chrono::seconds(3); ///< The holder stops relying on the lease this long before its term ends.
+    /// The holder stops relying on the lease this long before its term ends.
+    Duration margin = std::chrono::seconds(3);
     Duration renewInterval = std::chrono::seconds(3);
     Duration readInterval = std::chrono::seconds(2); ///< How often the lease stream is read.
-    Duration spread = std::chrono::seconds(
-        1); ///< Upper bound of the per-process delay that keeps contenders from acquiring at the same time.
+    /// Upper bound of the per-process delay that spreads attempts to acquire.
+    Duration maxAcquireDelay = std::chrono::seconds(1);
 };
 
 /// A held lease and how long its holder may rely on it.
 struct HeldLease {
     LogOffset fencing = 0; ///< Fencing number: offset of the acquiring record, so each later holder has a larger one.
-    TimePoint until {}; ///< By the holder's clock, with the margin already subtracted.
+    TimePoint validUntil {}; ///< By the holder's clock, with the margin already subtracted.
 };
 
 /// The next log operation requested by a LeaseContender.
@@ -166,8 +166,8 @@
     std::string model;
     std::string version;
     std::string role;
-    TimePoint
-        sendDeadline {}; ///< The sender rechecks the clock: after this time the lease is too close to expiry to send.
+    /// The sender rechecks the clock: after this time the lease is too close to expiry to send.
+    TimePoint sendDeadline {};
 };
 
 using OrderAction = std::variant<ReadState, RequestLoadGrant, SendOrder>;
@@ -183,14 +183,14 @@
     Duration orderTimeout = std::chrono::seconds(2); ///< Timeout of a request to a target.
     Duration stateReadInterval = std::chrono::seconds(2); ///< Interval between reads of a target's state.
     Duration stateMaxAge = std::chrono::seconds(7); ///< An older state is treated as unknown.
-    Duration confirmTimeout
-        = std::chrono::seconds(10); ///< An accepted order that has had no visible effect is sent again after this time.
+    /// An accepted order that has had no visible effect is sent again after this time.
+    Duration confirmTimeout = std::chrono::seconds(10);
     Duration retryAfter = std::chrono::seconds(2);
     double maxUnavailableFraction = 1.0 / 3; ///< Fraction of a pool that may be out of service because of orders.
-    std::size_t maxConcurrentLoads
-        = 4; ///< Fleet-wide; further targets would only be out of service while waiting for the weight store.
-    bool asksWeightStore
-        = false; ///< Whether the steward requests load permission; otherwise the engines do so themselves.
+    /// Fleet-wide; further targets would only be out of service while waiting for the weight store.
+    std::size_t maxConcurrentLoads = 4;
+    /// Whether the steward requests load permission; otherwise the engines do so themselves.
+    bool asksWeightStore = false;
 };
 
 /// Progress of a target towards its desired state.
@@ -205,8 +205,8 @@
 /// Totals since process start.
 struct OrderCounts {
     std::uint64_t sent = 0;
-    std::uint64_t repeated
-        = 0; ///< Sent again because the target's state still differed after it had accepted the order.
+    /// Sent again because the target's state still differed after it had accepted the order.
+    std::uint64_t repeated = 0;
     std::uint64_t superseded = 0;
     std::uint64_t failed = 0;
     std::uint64_t loadsRefused = 0;
--- a/src/steward/LeaseContender.cpp
+++ b/src/steward/LeaseContender.cpp
@@ -29,13 +29,13 @@
             : m_self(std::move(self))
             , m_settings(settings)
             , m_acquireDelay(Duration(static_cast<Duration::rep>(
-                  stableHash(m_self) % static_cast<std::uint64_t>(settings.spread.count() + 1))))
+                  stableHash(m_self) % static_cast<std::uint64_t>(settings.maxAcquireDelay.count() + 1))))
         {
         }
 
         LeaseAction next(TimePoint now) override
         {
-            if (!m_isAtEnd || now >= m_readAgainAt)
+            if (!m_isAtEnd || now >= m_nextReadAt)
                 return { LeaseAction::Type::Read, m_position + 1, "" };
             if (isHeldBySelf())
                 return nextAsHolder(now);
@@ -57,7 +57,7 @@
             }
             m_isAtEnd = m_position + 1 >= batch.next;
             m_isStreamUnused = batch.next <= 1;
-            m_readAgainAt = now + m_settings.readInterval;
+            m_nextReadAt = now + m_settings.readInterval;
         }
 
         void appended(TimePoint) override { m_isAtEnd = false; }
@@ -66,14 +66,14 @@
         {
             // Only the log shows whether a failed append was stored, so read it before appending again.
             m_isAtEnd = false;
-            m_readAgainAt = now;
+            m_nextReadAt = now;
         }
 
         std::optional<HeldLease> held(TimePoint now) const override
         {
-            if (!isHeldBySelf() || m_isReleasing || now >= m_until)
+            if (!isHeldBySelf() || m_isReleasing || now >= m_validUntil)
                 return std::nullopt;
-            return HeldLease { m_holder->fencing, m_until };
+            return HeldLease { m_holder->fencing, m_validUntil };
         }
 
         void release() override { m_isReleasing = true; }
@@ -99,11 +99,11 @@
         /// on the lease before another process tries to acquire it.
         bool mayAcquire(TimePoint now) const
         {
-            if (m_isStreamUnused || m_isFree)
+            if (m_isStreamUnused || m_isReleasedByHolder)
                 return true;
-            const Duration silence = m_holder ? m_holder->term : m_settings.term;
+            const Duration requiredSilence = m_holder ? m_holder->term : m_settings.term;
             const TimePoint lastRecordAt = m_holder ? m_holder->lastRecordAt : m_silentSince.value_or(now);
-            return now >= lastRecordAt + silence + m_settings.margin + m_acquireDelay;
+            return now >= lastRecordAt + requiredSilence + m_settings.margin + m_acquireDelay;
         }
 
         LeaseAction append(LeaseVerb verb, TimePoint now)
@@ -113,7 +113,7 @@
             record.holder = m_self;
             record.serial = ++m_serial;
             record.fencing = verb == LeaseVerb::Acquire ? 0 : m_holder->fencing;
-            record.seen = m_position;
+            record.readUpTo = m_position;
             record.term = m_settings.term;
             m_pendingRecords.push_back({ record.serial, now });
             if (m_pendingRecords.size() > maxPendingRecords)
@@ -129,7 +129,7 @@
         {
             m_position = position;
             m_holder.reset();
-            m_isFree = false;
+            m_isReleasedByHolder = false;
             m_silentSince = now;
         }
 
@@ -140,7 +140,7 @@
             const absl::StatusOr<LeaseRecord> record = decodeLease(logged.data);
             // A writer that had not read the preceding record did not know who held the lease. Accepting its record
             // could give the lease two holders.
-            if (!record.ok() || record->seen != previous)
+            if (!record.ok() || record->readUpTo != previous)
                 return;
             if (record->verb == LeaseVerb::Acquire) {
                 setHolder(*record, logged.offset, now);
@@ -157,22 +157,22 @@
         void setHolder(const LeaseRecord& record, LogOffset fencing, TimePoint now)
         {
             if (!m_holder || m_holder->fencing != fencing)
-                m_until = {};
+                m_validUntil = {};
             m_holder = Holder { record.holder, fencing, record.term, now };
-            m_isFree = false;
+            m_isReleasedByHolder = false;
             if (record.holder != m_self)
                 return;
             const auto it = std::find_if(m_pendingRecords.begin(), m_pendingRecords.end(),
                 [&](const PendingRecord& pending) { return pending.serial == record.serial; });
             if (it != m_pendingRecords.end())
-                m_until = std::max(m_until, it->at + m_settings.term - m_settings.margin);
+                m_validUntil = std::max(m_validUntil, it->at + m_settings.term - m_settings.margin);
         }
 
         void markFree(TimePoint now)
         {
             m_holder.reset();
-            m_until = {};
-            m_isFree = true;
+            m_validUntil = {};
+            m_isReleasedByHolder = true;
             m_silentSince = now;
         }
 
@@ -184,13 +184,13 @@
         bool m_isAtEnd
             = false; ///< The latest read reached the end of the log, and this process has not appended since.
         bool m_isStreamUnused = false; ///< No record was ever written to the lease stream.
-        bool m_isFree = false; ///< The latest holder released the lease.
+        bool m_isReleasedByHolder = false; ///< The latest holder released the lease.
         bool m_isReleasing = false;
         std::optional<Holder> m_holder;
         std::optional<TimePoint> m_silentSince; ///< Start of the wait for records while the holder is unknown.
-        TimePoint m_readAgainAt {};
+        TimePoint m_nextReadAt {};
         TimePoint m_renewAt {};
-        TimePoint m_until {};
+        TimePoint m_validUntil {};
         std::uint64_t m_serial = 0;
         std::vector<PendingRecord> m_pendingRecords;
     };
--- a/src/steward/LeaseRecord.cpp
+++ b/src/steward/LeaseRecord.cpp
@@ -34,7 +34,7 @@
     return json {
         { "format", leaseFormat }, { "lease", leaseName }, { "verb", verbTexts[static_cast<std::size_t>(record.verb)] },
         { "holder", record.holder }, { "serial", record.serial }, { "fencing", record.fencing },
-        { "seen", record.seen }, { "termMs", termMs }
+        { "seen", record.readUpTo }, { "termMs", termMs }
     }.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
@@ -54,7 +54,7 @@
     record.holder = reader.text("holder", maxTextLength);
     record.serial = reader.number("serial");
     record.fencing = reader.number("fencing");
-    record.seen = reader.number("seen");
+    record.readUpTo = reader.number("seen");
     const std::uint64_t termMs = reader.number("termMs");
     if (!verb || record.holder.empty() || termMs == 0 || termMs > maxTermMs)
         reader.fail("the verb is unknown, the holder is empty, or termMs is not between 1 and 86400000 (24 h)");
--- a/src/steward/LeaseRecord.h
+++ b/src/steward/LeaseRecord.h
@@ -12,7 +12,7 @@
     std::string holder;
     std::uint64_t serial = 0; ///< Sequence number assigned by the holder.
     LogOffset fencing = 0; ///< Offset of the acquire record; 0 in the acquire record itself.
-    LogOffset seen = 0; ///< The writer had read the stream up to and including this offset.
+    LogOffset readUpTo = 0; ///< The writer had read the stream up to and including this offset.
     Duration term {}; ///< Time without a record from the holder after which others may try to acquire.
 };
 
--- a/src/steward/OrderedTarget.h
+++ b/src/steward/OrderedTarget.h
@@ -37,8 +37,8 @@
     OrderKind orderKind = OrderKind::Load; ///< Kind of the order in progress; meaningless when idle.
     TimePoint orderedAt {}; ///< When the target accepted the order in progress.
     TimePoint notBefore {}; ///< No order is sent before this time.
-    TimePoint
-        differsSince {}; ///< When the observed state began to differ from the desired one; zero if it does not differ.
+    /// When the observed state began to differ from the desired one; zero if it does not differ.
+    TimePoint differsSince {};
     std::string blockedReason;
 
     /// @return the kind of order needed next according to the latest state; nullopt if none is needed or no state is
--- a/src/steward/SnapshotSchedule.cpp
+++ b/src/steward/SnapshotSchedule.cpp
@@ -57,11 +57,11 @@
         return false;
     if (!m_covers || now - m_writtenAt >= interval())
         return true;
-    const LogOffset behind = applied > *m_covers ? applied - *m_covers : 0;
-    const LogOffset most = m_observedRecordCount
+    const LogOffset recordsBehind = applied > *m_covers ? applied - *m_covers : 0;
+    const LogOffset maxRecordsBehind = m_observedRecordCount
         ? std::clamp<LogOffset>(*m_observedRecordCount / safetyFactor, 1, m_settings.maxRecords)
         : m_settings.maxRecords;
-    return behind >= most || (behind > 0 && *m_covers + 1 < m_first);
+    return recordsBehind >= maxRecordsBehind || (recordsBehind > 0 && *m_covers + 1 < m_first);
 }
 
 } // namespace sagechute::steward
--- a/src/steward/TargetOrders.cpp
+++ b/src/steward/TargetOrders.cpp
@@ -286,7 +286,7 @@
 
         TimePoint latestSendTime(const HeldLease& hold) const
         {
-            return hold.until - m_settings.orderTimeout - requestSlack;
+            return hold.validUntil - m_settings.orderTimeout - requestSlack;
         }
 
         void addOrders(const HeldLease& hold, TimePoint now, std::vector<OrderAction>& actions)
--- a/tests/StewardSimulation.h
+++ b/tests/StewardSimulation.h
@@ -14,8 +14,8 @@
 struct FakeEngine {
     bool checksFencing = false;
     ObservedState state;
-    ObservedState loaded; ///< The model and version that the load in progress will result in.
-    TimePoint loadedAt {};
+    ObservedState loadResult; ///< The model and version that the load in progress will result in.
+    TimePoint loadDoneAt {};
 
     OrderAnswer handleOrder(const SendOrder& order, TimePoint now)
     {
@@ -27,19 +27,19 @@
             return OrderAnswer::Accepted;
         }
         state.loading = true;
-        loaded.model = order.model;
-        loaded.version = order.version;
-        loadedAt = now + 2s;
+        loadResult.model = order.model;
+        loadResult.version = order.version;
+        loadDoneAt = now + 2s;
         return OrderAnswer::Accepted;
     }
 
     void advance(TimePoint now)
     {
-        if (!state.loading || now < loadedAt)
+        if (!state.loading || now < loadDoneAt)
             return;
         state.loading = false;
-        state.model = loaded.model;
-        state.version = loaded.version;
+        state.model = loadResult.model;
+        state.version = loadResult.version;
     }
 
     bool serves() const { return !state.loading && !state.model.empty(); }
--- a/tests/StewardTest.cpp
+++ b/tests/StewardTest.cpp
@@ -81,7 +81,7 @@
     }));
 }
 
-TEST_CASE("An upgrade keeps most of a pool serving and only continues while the other targets serve")
+TEST_CASE("An upgrade never takes a whole pool out of service and only continues while the other targets serve")
 {
     // Guards against a pool without any serving target during an upgrade. This happens if a new version is ordered for
     // all targets at once, or if the next target is ordered before the previous one serves again, for example because
@@ -99,9 +99,9 @@
 
     simulation.onStep = [&] {
         FakeEngine& broken = simulation.engines.at("e10");
-        broken.loadedAt = broken.state.loading ? simulation.now + 10s : broken.loadedAt;
+        broken.loadDoneAt = broken.state.loading ? simulation.now + 10s : broken.loadDoneAt;
         for (const char* name : { "e11", "e12", "e13" })
-            simulation.engines.at(name).loadedAt
+            simulation.engines.at(name).loadDoneAt
                 = simulation.engines.at(name).state.loading ? simulation.now + 10s : TimePoint {};
     };
     simulation.setDesiredVersion("3");
@@ -146,15 +146,15 @@
     simulation.onStep = [&] {
         for (const auto& [name, engine] : simulation.engines) {
             const std::string text
-                = engine.state.loading ? "loading " + engine.loaded.version : "has " + engine.state.version;
+                = engine.state.loading ? "loading " + engine.loadResult.version : "has " + engine.state.version;
             if (std::exchange(shown[name], text) != text)
                 out << secondsOf(simulation.now) << " " << name << " " << text << "\n";
         }
     };
     simulation.run(30s);
-    const std::size_t former = *simulation.holder();
-    out << "holder s" << former << ", version 2 wanted, its next orders hang for 40s\n";
-    simulation.delayNextOrders(former, 40s);
+    const std::size_t previousHolder = *simulation.holder();
+    out << "holder s" << previousHolder << ", version 2 wanted, its next orders hang for 40s\n";
+    simulation.delayNextOrders(previousHolder, 40s);
     simulation.setDesiredVersion("2");
     simulation.run(30s);
     out << "version 3 wanted\n";
@@ -198,11 +198,11 @@
 {
     StewardSimulation simulation(2);
     simulation.run(30s);
-    const std::size_t former = *simulation.holder();
-    simulation.contender(former).release();
+    const std::size_t previousHolder = *simulation.holder();
+    simulation.contender(previousHolder).release();
     simulation.run(3s);
-    CHECK(simulation.contender(former).released());
-    CHECK(simulation.holder() == 1 - former);
+    CHECK(simulation.contender(previousHolder).released());
+    CHECK(simulation.holder() == 1 - previousHolder);
 }
 
 TEST_CASE("Snapshots are due before the records that they replace expire, even without configuration changes")
@@ -276,12 +276,12 @@
     orders->stateRead({ "a" }, reads["a"], old, now);
     now += 2s;
     REQUIRE(tick().empty()); // The state of "b" is unknown: it might not be serving.
-    const std::uint64_t underWay = reads["a"];
+    const std::uint64_t outstandingRead = reads["a"];
     orders->stateRead({ "b" }, reads["b"], old, now);
     REQUIRE(tick() == "a");
     orders->orderAnswered({ "a" }, OrderAnswer::Accepted, now);
     now += 11s;
-    orders->stateRead({ "a" }, underWay, old, now);
+    orders->stateRead({ "a" }, outstandingRead, old, now);
     CHECK(orders->counts().repeated == 0);
     tick();
     orders->stateRead({ "a" }, reads["a"], old, now);
