--- a/apps/sagechute-router/StatusExporter.cpp
+++ b/apps/sagechute-router/StatusExporter.cpp
@@ -65,28 +65,27 @@
 } // namespace
 
 StatusExporter::StatusExporter()
-    : m_controlBytes(counterFamily(m_metrics, "sagechute_control_bytes_total",
-        "Bytes exchanged with other routers and the log, including headers"))
-    , m_messages(counterFamily(m_metrics, "sagechute_messages_total", "Messages sent to other routers, by kind"))
-    , m_messageBytes(counterFamily(
-          m_metrics, "sagechute_message_bytes_total", "Payload bytes of messages sent to other routers, by kind"))
-    , m_requests(counterFamily(m_metrics, "sagechute_requests_total", "Finished caller requests, by outcome"))
+    : m_controlBytes(counterFamily(
+        m_metrics, "sagechute_control_bytes_total", "Bytes between routers and to the log, headers included"))
+    , m_messages(counterFamily(m_metrics, "sagechute_messages_total", "Messages to other routers by kind"))
+    , m_messageBytes(
+          counterFamily(m_metrics, "sagechute_message_bytes_total", "Payload of messages to other routers by kind"))
+    , m_requests(counterFamily(m_metrics, "sagechute_requests_total", "Requests of callers by outcome"))
     , m_fairnessGap(gaugeFamily(m_metrics, "sagechute_fairness_gap",
-          "Largest difference in weighted service between two backlogged customers"))
-    , m_fairnessGapBound(gaugeFamily(m_metrics, "sagechute_fairness_gap_bound", "Upper bound on the fairness gap"))
-    , m_waiting(gaugeFamily(m_metrics, "sagechute_waiting_requests", "Requests queued in this router"))
-    , m_running(
-          gaugeFamily(m_metrics, "sagechute_running_requests", "Requests of this router that are running at targets"))
-    , m_residentMemory(gaugeFamily(m_metrics, "process_resident_memory_bytes", "Resident memory in bytes").Add({}))
-    , m_processCpuTime(gaugeFamily(m_metrics, "process_cpu_seconds", "CPU time of the process in seconds").Add({}))
+          "Largest difference of weighted service between two backlogged customers"))
+    , m_fairnessGapBound(gaugeFamily(m_metrics, "sagechute_fairness_gap_bound", "The bound that the gap stays below"))
+    , m_waiting(gaugeFamily(m_metrics, "sagechute_waiting_requests", "Requests that wait in this router"))
+    , m_running(gaugeFamily(m_metrics, "sagechute_running_requests", "Requests of this router at targets"))
+    , m_residentMemory(gaugeFamily(m_metrics, "process_resident_memory_bytes", "Resident memory").Add({}))
+    , m_processCpuTime(gaugeFamily(m_metrics, "process_cpu_seconds", "Processor time of the whole process").Add({}))
     , m_coreCpuTime(
-          gaugeFamily(m_metrics, "sagechute_core_cpu_seconds", "CPU time of the core thread in seconds").Add({}))
-    , m_configOffset(gaugeFamily(
-          m_metrics, "sagechute_config_offset", "Log offset up to which this router has applied the configuration")
-                         .Add({}))
-    , m_undecodableMessages(gaugeFamily(
-          m_metrics, "sagechute_undecodable_messages", "Messages from other routers that could not be decoded")
-                                .Add({}))
+          gaugeFamily(m_metrics, "sagechute_core_cpu_seconds", "Processor time of the deciding thread").Add({}))
+    , m_configOffset(
+          gaugeFamily(m_metrics, "sagechute_config_offset", "Log offset up to which configuration is in force here")
+              .Add({}))
+    , m_undecodableMessages(
+          gaugeFamily(m_metrics, "sagechute_undecodable_messages", "Messages of other routers that could not be read")
+              .Add({}))
 {
 }
 
